--- a/tests/auto/wire/tst_wire.cpp
+++ b/tests/auto/wire/tst_wire.cpp
@@ -192,7 +192,8 @@
     const CurveKeys keys = CurveKeys::generate().value();
     EXPECT_EQ(CurveKeys::fromSecretKeyFile(folder.write("secret", keys.secretKey + "\n")).value().publicKey, keys.publicKey);
     EXPECT_EQ(Wire::readPublicKeys(folder.write("known", "# routers\n\n " + keys.publicKey + "\r\n")).value(), std::vector{keys.publicKey});
-    const std::string broken = keys.secretKey.substr(1);
+    // Cut at its end: a Z85 key never begins with #, but its second character may be one and would make the line a comment.
+    const std::string broken = keys.secretKey.substr(0, keys.secretKey.size() - 1);
     EXPECT_EQ(CurveKeys::fromSecretKeyFile(folder.write("short", broken)).error().toString().find(broken), std::string::npos);
     EXPECT_EQ(Wire::readPublicKeys(folder.write("wrong", "# routers\n" + broken)).error().peer, folder.write("wrong", "") + ":2");
     EXPECT_EQ(Wire::readPublicKeys("/nonexistent").error().code, Core::ErrorCode::NotFound);
