--- a/src/apps/policybench/bench.cpp
+++ b/src/apps/policybench/bench.cpp
@@ -50,7 +50,7 @@
     Worker worker{Decisions::backendServerId("e" + std::to_string(number)), std::move(gate), FakeEngine(deployment), 1, 0, {}, {}};
     worker.gate->setShares(flowShares());
     worker.gate->setServed({modelVersion}, {});
-    worker.gate->noteEngineIncarnation(worker.incarnation);
+    worker.gate->setEngineIncarnation(worker.incarnation);
     return worker;
 }
 
@@ -178,11 +178,11 @@
     }
     std::sort(lost.begin(), lost.end());
     for (const std::uint64_t id : lost) {
-        carryOut(worker, worker.gate->noteRunEnded({requestName(id), m_flights.at(id).attempts}, {Decisions::RunEnd::EngineLost, {}, {}, 0}, m_now));
+        carryOut(worker, worker.gate->handleRunEnded({requestName(id), m_flights.at(id).attempts}, {Decisions::RunEnd::EngineLost, {}, {}, 0}, m_now));
         at(m_now + hop, [this, id] { retry(id); });
     }
     at(m_now + engineOutage, [this, &worker] {
-        worker.gate->noteEngineIncarnation(worker.incarnation);
+        worker.gate->setEngineIncarnation(worker.incarnation);
         carryOut(worker, worker.gate->setEngineUp(true, m_now));
     });
 }
@@ -272,7 +272,7 @@
     submitted.maximumTokens = m_deployment.answerTokens * 3 / 2;
     submitted.deadline = request.deadline;
     worker.waiting.emplace(id, &request);
-    const Reply reply{worker.gate->warmPieces(request.keys, m_now), worker.gate->heatHint(request.keys)};
+    const Reply reply{worker.gate->warmPieces(request.keys, m_now), worker.gate->hotPrefixHint(request.keys)};
     const std::vector<Decisions::GateAction> actions = worker.gate->submit(submitted, m_now);
     const bool isRefused = std::any_of(actions.begin(), actions.end(), [&submitted](const Decisions::GateAction &action) {
         const auto *refusal = std::get_if<Decisions::Refuse>(&action);
@@ -337,7 +337,7 @@
     std::transform(firstNew, flight.request.keys.end(), std::back_inserter(stored.blocks), blockOf);
     for (const Decisions::CacheEvent &event : {removed, stored}) {
         if (m_random() % cacheEventsToOneLost != 0) {
-            at(run.firstToken + cacheEventDelay, [this, &worker, event] { worker.gate->noteCacheEvent(event, m_now); });
+            at(run.firstToken + cacheEventDelay, [this, &worker, event] { worker.gate->handleCacheEvent(event, m_now); });
         }
     }
 }
@@ -347,7 +347,7 @@
     const Flight &flight = m_flights.at(id);
     note(flight.request, [&](Figures &figures) { figures.noteFirstToken(flight.request, m_now + hop); });
     const auto cachedTokens = static_cast<std::uint32_t>(run.cachedPieces) * Deployment::pieceTokens;
-    carryOut(worker, worker.gate->noteFirstToken({requestName(id), flight.attempts}, cachedTokens, m_now));
+    carryOut(worker, worker.gate->handleFirstToken({requestName(id), flight.attempts}, cachedTokens, m_now));
     scheduleTick(worker);
 }
 
@@ -359,9 +359,9 @@
     note(flight.request, [&](Figures &figures) { figures.noteComplete(flight.request, m_now + hop); });
     noteMessage(flight, hintBytes);
     tellLoad(flight.router, worker);
-    worker.gate->noteTokens({requestName(id), flight.attempts}, flight.request.answerTokens, m_now);
+    worker.gate->recordTokens({requestName(id), flight.attempts}, flight.request.answerTokens, m_now);
     const Decisions::RunOutcome outcome{Decisions::RunEnd::Complete, {}, {}, flight.request.answerTokens};
-    carryOut(worker, worker.gate->noteRunEnded({requestName(id), flight.attempts}, outcome, m_now));
+    carryOut(worker, worker.gate->handleRunEnded({requestName(id), flight.attempts}, outcome, m_now));
 }
 
 void Bench::refuse(Worker &worker, const Decisions::Refuse &action)
--- a/src/apps/policybench/policy.h
+++ b/src/apps/policybench/policy.h
@@ -37,7 +37,7 @@
 struct Reply
 {
     std::uint32_t warmPieces = 0;
-    std::optional<Decisions::HeatHint> heat;
+    std::optional<Decisions::HotPrefixHint> heat;
 };
 
 /// \brief What a gate answers when it is asked about a prompt.
--- a/src/libs/agent/agentsettings.cpp
+++ b/src/libs/agent/agentsettings.cpp
@@ -30,8 +30,8 @@
 void readCost(SettingsReader reader, Decisions::CostModelOptions &cost)
 {
     cost.pieceTokens = static_cast<std::uint32_t>(reader.integer("piece_tokens", cost.pieceTokens, 16, 1 << 18));
-    cost.firstPrefillPerPiece = reader.span("prefill_per_piece", cost.firstPrefillPerPiece, 1us, 600s);
-    cost.firstTokenInterval = reader.span("token_interval", cost.firstTokenInterval, 1us, 10s);
+    cost.initialPrefillPerPiece = reader.span("prefill_per_piece", cost.initialPrefillPerPiece, 1us, 600s);
+    cost.initialTokenInterval = reader.span("token_interval", cost.initialTokenInterval, 1us, 10s);
 }
 
 void readSecurity(SettingsReader reader, AgentSecurity &security)
--- a/src/libs/agent/modelordertask.cpp
+++ b/src/libs/agent/modelordertask.cpp
@@ -73,7 +73,7 @@
     setEngines();
     m_plan.setModels(declaredModels(settings), m_loop.now());
     if (m_hasReport) {
-        m_plan.setHeld(m_held, m_loop.now());
+        m_plan.setLoaded(m_held, m_loop.now());
     }
     run();
 }
@@ -95,7 +95,7 @@
     m_hasReport = true;
     m_held = report.models;
     if (m_isDeclared) {
-        m_plan.setHeld(m_held, m_loop.now());
+        m_plan.setLoaded(m_held, m_loop.now());
         run();
     }
 }
--- a/src/libs/agent/runmanager.cpp
+++ b/src/libs/agent/runmanager.cpp
@@ -170,7 +170,7 @@
 
 void RunManager::fillLoad(const std::vector<Decisions::PrefixKey> &keys, verbena::wire::LoadHint &hint) const
 {
-    fillLoadHint(m_gate.load(m_loop.now()), m_gate.heatHint(keys), hint);
+    fillLoadHint(m_gate.load(m_loop.now()), m_gate.hotPrefixHint(keys), hint);
 }
 
 std::uint32_t RunManager::warmPieces(const std::vector<Decisions::PrefixKey> &keys) const
@@ -201,11 +201,11 @@
     if (isFirst) {
         m_metrics.recordSpan("agent_first_token_seconds", {run->dispatch.organisation(), run->dispatch.request_class()}, spanSince(run->receivedAt, now));
     } else {
-        m_gate.noteTokens(ref, tokens, now);
+        m_gate.recordTokens(ref, tokens, now);
     }
     flush(*run);
     if (isFirst) {
-        perform(m_gate.noteFirstToken(ref, std::nullopt, now));
+        perform(m_gate.handleFirstToken(ref, std::nullopt, now));
     }
 }
 
@@ -222,7 +222,7 @@
     } else {
         setEnd(*run, endKindOf(end.kind), end);
     }
-    perform(m_gate.noteRunEnded(ref, outcome, m_loop.now()));
+    perform(m_gate.handleRunEnded(ref, outcome, m_loop.now()));
     if (AgentRun *ended = m_runs.find(ref)) {
         flush(*ended);
     }
@@ -230,7 +230,7 @@
 
 void RunManager::receiveReport(const BackendReport &report)
 {
-    m_gate.noteEngineLoad(report.load, m_loop.now());
+    m_gate.updateEngineLoad(report.load, m_loop.now());
     if (m_reportCallback) {
         m_reportCallback(report);
     }
@@ -246,14 +246,14 @@
 
 void RunManager::receiveCacheEvent(const Decisions::CacheEvent &event)
 {
-    m_gate.noteCacheEvent(event, m_loop.now());
+    m_gate.handleCacheEvent(event, m_loop.now());
     scheduleTick();
 }
 
 void RunManager::incarnationChanged(std::uint64_t incarnation)
 {
     Observe::log(backendIncarnation, {{"incarnation", std::to_string(incarnation)}});
-    m_gate.noteEngineIncarnation(incarnation);
+    m_gate.setEngineIncarnation(incarnation);
 }
 
 void RunManager::availabilityChanged(bool isUp, const Core::Error &reason)
@@ -341,7 +341,7 @@
     run->frames.clear();
     const bool isLate = m_loop.now() >= run->deadline;
     setEnd(*run, isLate ? verbena::wire::END_KIND_DEADLINE : verbena::wire::END_KIND_CANCELLED, {});
-    perform(m_gate.noteRunEnded(action.ref, outcome, m_loop.now()));
+    perform(m_gate.handleRunEnded(action.ref, outcome, m_loop.now()));
     flush(*run);
 }
 
--- a/src/libs/agent/statuspage.cpp
+++ b/src/libs/agent/statuspage.cpp
@@ -71,7 +71,7 @@
         {"buffered_bytes", runs.runs().bufferedBytes()},
         {"body_bytes", runs.runs().bodyBytes()},
         {"cached_prefixes", gate.cache().size()},
-        {"lost_event_gaps", gate.cache().lostGaps()}};
+        {"lost_event_gaps", gate.cache().lostEventGaps()}};
     if (m_control != nullptr) {
         status["settings"] = nlohmann::json::parse(m_control->settingsStatus().toJson(), nullptr, false);
         status["orders_sent"] = m_control->orders().sentCount();
--- a/src/libs/agent/wireconversion.cpp
+++ b/src/libs/agent/wireconversion.cpp
@@ -124,7 +124,7 @@
     ended.set_queue_wait_us(static_cast<std::uint64_t>(run.queueWait.count()));
 }
 
-void fillLoadHint(const Decisions::LoadReport &load, const std::optional<Decisions::HeatHint> &heat, verbena::wire::LoadHint &hint)
+void fillLoadHint(const Decisions::LoadReport &load, const std::optional<Decisions::HotPrefixHint> &heat, verbena::wire::LoadHint &hint)
 {
     hint.set_incarnation(load.incarnation);
     hint.set_queued_work_us(static_cast<std::uint64_t>(load.queuedWork.count()));
--- a/src/libs/agent/wireconversion.h
+++ b/src/libs/agent/wireconversion.h
@@ -4,7 +4,7 @@
 #include "runtable.h"
 
 #include <decisions/gate/gatetypes.h>
-#include <decisions/gate/heatmeter.h>
+#include <decisions/gate/prefixloadmeter.h>
 #include <decisions/routing/routechooser.h>
 
 #include <verbena.pb.h>
@@ -34,6 +34,6 @@
 void fillEnded(const AgentRun &run, verbena::wire::EndKind kind, const BackendEnd &end, verbena::wire::Ended &ended);
 
 /// \brief Writes \a load and \a heat to \a hint.
-void fillLoadHint(const Decisions::LoadReport &load, const std::optional<Decisions::HeatHint> &heat, verbena::wire::LoadHint &hint);
+void fillLoadHint(const Decisions::LoadReport &load, const std::optional<Decisions::HotPrefixHint> &heat, verbena::wire::LoadHint &hint);
 
 } // namespace Verbena::Agent
--- a/src/libs/decisions/gate/admissiongate.cpp
+++ b/src/libs/decisions/gate/admissiongate.cpp
@@ -8,11 +8,11 @@
 
 using std::chrono::microseconds;
 
-constexpr std::uint32_t olderAttemptsLookedFor = 8;
-constexpr microseconds shortestRetryAfter(50000);
-constexpr microseconds longestRetryAfter(10000000);
+constexpr std::uint32_t maximumOlderAttempts = 8;
+constexpr microseconds minimumRetryAfter(50000);
+constexpr microseconds maximumRetryAfter(10000000);
 
-microseconds spanBetween(Core::TimePoint begin, Core::TimePoint end)
+microseconds durationBetween(Core::TimePoint begin, Core::TimePoint end)
 {
     return std::chrono::duration_cast<microseconds>(end - begin);
 }
@@ -25,7 +25,7 @@
     , m_cost(options.cost)
     , m_duplicates(options.duplicateCapacity, options.duplicateMargin)
     , m_overload(options.overload)
-    , m_heat(options.heat)
+    , m_prefixLoad(options.prefixLoad)
 {
 }
 
@@ -36,19 +36,19 @@
         actions.push_back(std::move(*answer));
         return actions;
     }
-    giveUpOlderAttempts(request.ref, actions);
-    m_duplicates.noteQueued(request);
-    noteWait(now);
-    if (std::optional<GateAction> refusal = refusalOf(request, now)) {
-        m_duplicates.noteNotRun(request.ref);
+    cancelOlderAttempts(request.ref, actions);
+    m_duplicates.recordQueued(request);
+    updateOverloadLevel(now);
+    if (std::optional<GateAction> refusal = checkAdmission(request, now)) {
+        m_duplicates.recordNotRun(request.ref);
         actions.push_back(std::move(*refusal));
         return actions;
     }
     enqueue(std::move(request), now);
-    startWaiting(now, actions);
+    startQueued(now, actions);
     while (m_queue.size() > m_options.maximumQueued) {
         // Room is made by the flow that holds most for its share, so that nobody is pushed out by another's flood.
-        refuseQueued(*m_byTicket.at(*m_queue.lastOfLargest()), GateRefusal::QueueFull, now, actions);
+        refuseQueued(*m_attemptsByEntry.at(*m_queue.newestOfLargestFlow()), GateRefusal::QueueFull, now, actions);
     }
     return actions;
 }
@@ -56,87 +56,87 @@
 std::vector<GateAction> AdmissionGate::cancel(const RequestRef &ref, Core::TimePoint now)
 {
     std::vector<GateAction> actions;
-    Held *held = find(ref);
-    if (held == nullptr) {
+    Attempt *attempt = findAttempt(ref);
+    if (attempt == nullptr) {
         return actions;
     }
-    if (held->state != State::Queued) {
-        if (!held->isCancelled) {
-            held->isCancelled = true;
+    if (attempt->state != State::Queued) {
+        if (!attempt->isCancelled) {
+            attempt->isCancelled = true;
             actions.emplace_back(CancelRun{ref});
         }
         return actions;
     }
-    m_duplicates.noteNotRun(ref);
-    m_queue.erase(held->ticket);
+    m_duplicates.recordNotRun(ref);
+    m_queue.erase(attempt->entryId);
     actions.emplace_back(DropQueued{ref});
-    release(*held);
-    startWaiting(now, actions);
+    removeAttempt(*attempt);
+    startQueued(now, actions);
     return actions;
 }
 
-std::vector<GateAction> AdmissionGate::noteFirstToken(const RequestRef &ref, std::optional<std::uint32_t> cachedTokens, Core::TimePoint now)
+std::vector<GateAction> AdmissionGate::handleFirstToken(const RequestRef &ref, std::optional<std::uint32_t> cachedTokens, Core::TimePoint now)
 {
     std::vector<GateAction> actions;
-    Held *held = find(ref);
-    if (held == nullptr || held->state != State::Prefill) {
+    Attempt *attempt = findAttempt(ref);
+    if (attempt == nullptr || attempt->state != State::Prefill) {
         return actions;
     }
-    held->prefillSpan = spanBetween(std::max(held->startedAt, m_prefillSince), now);
+    attempt->measuredPrefill = durationBetween(std::max(attempt->startedAt, m_prefillSince), now);
     if (cachedTokens) {
-        learnPrefill(*held, *cachedTokens);
+        addPrefillSample(*attempt, *cachedTokens);
     }
-    endPrefill(*held, now);
-    forgetPrompt(held->request);
-    held->state = State::Decode;
-    held->lastTokenAt = now;
+    removePrefill(*attempt, now);
+    removeExpectedKeys(attempt->request);
+    attempt->state = State::Decode;
+    attempt->lastTokenAt = now;
     const std::optional<std::uint32_t> cachedPieces = cachedTokens ? std::optional(*cachedTokens / m_cost.pieceTokens()) : std::nullopt;
-    m_cache.notePromptProcessed(ref, cachedPieces, now);
-    startWaiting(now, actions);
+    m_cache.recordPromptProcessed(ref, cachedPieces, now);
+    startQueued(now, actions);
     return actions;
 }
 
-void AdmissionGate::noteTokens(const RequestRef &ref, std::uint32_t count, Core::TimePoint now)
+void AdmissionGate::recordTokens(const RequestRef &ref, std::uint32_t count, Core::TimePoint now)
 {
-    Held *held = find(ref);
-    if (held == nullptr || held->state != State::Decode || count == 0) {
+    Attempt *attempt = findAttempt(ref);
+    if (attempt == nullptr || attempt->state != State::Decode || count == 0) {
         return;
     }
-    m_cost.noteTokenInterval(spanBetween(held->lastTokenAt, now) / count, static_cast<std::uint32_t>(m_running));
-    held->lastTokenAt = now;
+    m_cost.addTokenInterval(durationBetween(attempt->lastTokenAt, now) / count, static_cast<std::uint32_t>(m_running));
+    attempt->lastTokenAt = now;
 }
 
-std::vector<GateAction> AdmissionGate::noteRunEnded(const RequestRef &ref, const RunOutcome &outcome, Core::TimePoint now)
+std::vector<GateAction> AdmissionGate::handleRunEnded(const RequestRef &ref, const RunOutcome &outcome, Core::TimePoint now)
 {
     std::vector<GateAction> actions;
-    Held *held = find(ref);
-    if (held == nullptr || held->state == State::Queued) {
+    Attempt *attempt = findAttempt(ref);
+    if (attempt == nullptr || attempt->state == State::Queued) {
         return actions;
     }
-    if (held->state == State::Prefill) {
-        endPrefill(*held, now);
+    if (attempt->state == State::Prefill) {
+        removePrefill(*attempt, now);
     }
-    const GateRequest &request = held->request;
+    const GateRequest &request = attempt->request;
     if (outcome.end == RunEnd::Complete) {
-        m_cost.noteAnswerLength(outcome.completionTokens, request.maximumTokens);
+        m_cost.addAnswerLength(outcome.completionTokens, request.maximumTokens);
     }
     // The flow pays for what was used, not for what had been estimated.
     const std::uint32_t prompt = outcome.promptTokens.value_or(request.promptTokens);
-    const std::uint32_t missing = outcome.cachedTokens ? prompt - std::min(prompt, *outcome.cachedTokens) : held->missingTokens;
-    m_queue.charge(request.flow, m_cost.prefill(missing) + m_cost.decodeWorkOf(outcome.completionTokens) - held->work);
+    const std::uint32_t missing = outcome.cachedTokens ? prompt - std::min(prompt, *outcome.cachedTokens) : attempt->missingTokens;
+    m_queue.charge(request.flow, m_cost.prefillTime(missing) + m_cost.decodeWorkForTokens(outcome.completionTokens) - attempt->work);
     if (outcome.cachedTokens) {
-        learnPrefill(*held, *outcome.cachedTokens);
-        m_cache.notePromptProcessed(ref, *outcome.cachedTokens / m_cost.pieceTokens(), now);
+        addPrefillSample(*attempt, *outcome.cachedTokens);
+        m_cache.recordPromptProcessed(ref, *outcome.cachedTokens / m_cost.pieceTokens(), now);
     }
     --m_running;
-    release(*held);
-    startWaiting(now, actions);
+    removeAttempt(*attempt);
+    startQueued(now, actions);
     return actions;
 }
 
-void AdmissionGate::noteEngineIncarnation(std::uint64_t incarnation)
+void AdmissionGate::setEngineIncarnation(std::uint64_t incarnation)
 {
-    m_cache.noteIncarnation(incarnation);
+    m_cache.setIncarnation(incarnation);
 }
 
 std::vector<GateAction> AdmissionGate::setEngineUp(bool isUp, Core::TimePoint now)
@@ -145,12 +145,12 @@
     return isUp ? std::vector<GateAction>() : refuseAllQueued(GateRefusal::EngineDown, now);
 }
 
-void AdmissionGate::noteCacheEvent(const CacheEvent &event, Core::TimePoint now)
+void AdmissionGate::handleCacheEvent(const CacheEvent &event, Core::TimePoint now)
 {
-    m_cache.noteEvent(event, now);
+    m_cache.handleEvent(event, now);
 }
 
-void AdmissionGate::noteEngineLoad(const EngineLoad &load, Core::TimePoint)
+void AdmissionGate::updateEngineLoad(const EngineLoad &load, Core::TimePoint)
 {
     m_engineLoad = load;
 }
@@ -164,20 +164,20 @@
 {
     for (const ModelVersion &version : m_served) {
         if (std::find(versions.begin(), versions.end(), version) == versions.end()) {
-            m_cache.dropVersion(version);
+            m_cache.removeVersion(version);
         }
     }
     m_served = std::move(versions);
-    std::vector<Held *> unserved;
-    for (auto &[ref, held] : m_held) {
-        if (held.state == State::Queued && !isServed(held.request)) {
-            unserved.push_back(&held);
+    std::vector<Attempt *> unserved;
+    for (auto &[ref, attempt] : m_attempts) {
+        if (attempt.state == State::Queued && !isServed(attempt.request)) {
+            unserved.push_back(&attempt);
         }
     }
     std::vector<GateAction> actions;
-    std::sort(unserved.begin(), unserved.end(), [](const Held *left, const Held *right) { return left->ticket < right->ticket; });
-    for (Held *held : unserved) {
-        refuseQueued(*held, GateRefusal::NotServed, now, actions);
+    std::sort(unserved.begin(), unserved.end(), [](const Attempt *left, const Attempt *right) { return left->entryId < right->entryId; });
+    for (Attempt *attempt : unserved) {
+        refuseQueued(*attempt, GateRefusal::NotServed, now, actions);
     }
     return actions;
 }
@@ -192,20 +192,20 @@
 {
     std::vector<GateAction> actions;
     m_cache.tick(now);
-    while (!m_alarms.empty() && m_alarms.begin()->first <= now) {
-        Held &held = *m_byTicket.at(m_alarms.begin()->second);
-        if (held.state == State::Queued) {
-            refuseQueued(held, GateRefusal::Deadline, now, actions);
+    while (!m_timeouts.empty() && m_timeouts.begin()->first <= now) {
+        Attempt &attempt = *m_attemptsByEntry.at(m_timeouts.begin()->second);
+        if (attempt.state == State::Queued) {
+            refuseQueued(attempt, GateRefusal::Deadline, now, actions);
             continue;
         }
-        m_alarms.erase(m_alarms.begin());
-        if (!held.isCancelled) {
-            held.isCancelled = true;
-            actions.emplace_back(CancelRun{held.request.ref});
+        m_timeouts.erase(m_timeouts.begin());
+        if (!attempt.isCancelled) {
+            attempt.isCancelled = true;
+            actions.emplace_back(CancelRun{attempt.request.ref});
         }
     }
-    startWaiting(now, actions);
-    noteWait(now);
+    startQueued(now, actions);
+    updateOverloadLevel(now);
     return actions;
 }
 
@@ -218,8 +218,8 @@
         }
     };
     consider(m_overload.nextDeadline());
-    if (!m_alarms.empty()) {
-        consider(m_alarms.begin()->first);
+    if (!m_timeouts.empty()) {
+        consider(m_timeouts.begin()->first);
     }
     return next;
 }
@@ -247,9 +247,9 @@
     return std::max(expected, m_cache.likelyPieces(keys, now));
 }
 
-std::optional<HeatHint> AdmissionGate::heatHint(const std::vector<PrefixKey> &keys) const
+std::optional<HotPrefixHint> AdmissionGate::hotPrefixHint(const std::vector<PrefixKey> &keys) const
 {
-    return m_heat.hint(keys);
+    return m_prefixLoad.hint(keys);
 }
 
 bool AdmissionGate::isLeaving() const
@@ -289,20 +289,20 @@
     case DuplicateFilter::Verdict::Refused:
     case DuplicateFilter::Verdict::Superseded:
         return Refuse{request.ref, GateRefusal::Superseded, microseconds(0)};
-    case DuplicateFilter::Verdict::NoRoom:
-        return Refuse{request.ref, GateRefusal::QueueFull, shortestRetryAfter};
+    case DuplicateFilter::Verdict::CapacityReached:
+        return Refuse{request.ref, GateRefusal::QueueFull, minimumRetryAfter};
     }
     return std::nullopt;
 }
 
-microseconds AdmissionGate::costNow(TicketId id) const
+microseconds AdmissionGate::currentCost(QueueEntryId id) const
 {
-    const GateRequest &request = m_byTicket.at(id)->request;
-    return m_cost.prefill(m_cost.missingTokens(request.promptTokens, m_cache.likelyPieces(request.keys, m_now)));
+    const GateRequest &request = m_attemptsByEntry.at(id)->request;
+    return m_cost.prefillTime(m_cost.missingTokens(request.promptTokens, m_cache.likelyPieces(request.keys, m_currentTime)));
 }
 
 // Checks come in order of their cost.
-std::optional<GateAction> AdmissionGate::refusalOf(const GateRequest &request, Core::TimePoint now)
+std::optional<GateAction> AdmissionGate::checkAdmission(const GateRequest &request, Core::TimePoint now)
 {
     const auto refuse = [this, &request, now](GateRefusal reason) {
         return Refuse{request.ref, reason, retryAfter(reason, request.flow, now)};
@@ -319,32 +319,32 @@
     if (!isServed(request)) {
         return refuse(GateRefusal::NotServed);
     }
-    Held probe;
-    probe.request = request;
-    estimate(probe, now);
-    m_heat.noteDemand(request.keys, probe.work, now);
-    if (now + expectedWait(request.flow, now) + probe.span > request.deadline) {
+    Attempt candidate;
+    candidate.request = request;
+    updateEstimates(candidate, now);
+    m_prefixLoad.recordDemand(request.keys, candidate.work, now);
+    if (now + expectedWait(request.flow, now) + candidate.expectedDuration > request.deadline) {
         return refuse(GateRefusal::Deadline);
     }
     return std::nullopt;
 }
 
 // A router sends a later attempt only after it has given up on the earlier ones.
-void AdmissionGate::giveUpOlderAttempts(const RequestRef &ref, std::vector<GateAction> &actions)
+void AdmissionGate::cancelOlderAttempts(const RequestRef &ref, std::vector<GateAction> &actions)
 {
-    for (std::uint32_t back = 1; back <= olderAttemptsLookedFor && back < ref.attempt; ++back) {
+    for (std::uint32_t back = 1; back <= maximumOlderAttempts && back < ref.attempt; ++back) {
         const RequestRef older{ref.request, ref.attempt - back};
-        Held *held = find(older);
-        if (held == nullptr) {
+        Attempt *attempt = findAttempt(older);
+        if (attempt == nullptr) {
             continue;
         }
-        if (held->state == State::Queued) {
-            m_duplicates.noteNotRun(older);
-            m_queue.erase(held->ticket);
+        if (attempt->state == State::Queued) {
+            m_duplicates.recordNotRun(older);
+            m_queue.erase(attempt->entryId);
             actions.emplace_back(DropQueued{older});
-            release(*held);
-        } else if (!held->isCancelled) {
-            held->isCancelled = true;
+            removeAttempt(*attempt);
+        } else if (!attempt->isCancelled) {
+            attempt->isCancelled = true;
             actions.emplace_back(CancelRun{older});
         }
     }
@@ -353,110 +353,110 @@
 void AdmissionGate::enqueue(GateRequest request, Core::TimePoint now)
 {
     const RequestRef ref = request.ref;
-    Held &held = m_held[ref];
-    held.request = std::move(request);
-    held.ticket = TicketId(++m_lastTicket);
-    held.queuedAt = now;
-    held.workBefore = m_queue.queuedWork();
-    estimate(held, now);
-    held.alarm = held.request.deadline - held.span;
-    m_byTicket[held.ticket] = &held;
-    m_alarms.emplace(held.alarm, held.ticket);
-    m_queue.push(held.request.flow, Ticket{held.ticket, held.work});
-    expectPrompt(held.request);
-}
-
-void AdmissionGate::startWaiting(Core::TimePoint now, std::vector<GateAction> &actions)
-{
-    m_now = now;
-    while (m_isEngineUp && hasRoom(now)) {
-        const std::optional<Ticket> ticket = m_queue.popCheapest(*this, m_options.classOrder);
-        if (!ticket) {
+    Attempt &attempt = m_attempts[ref];
+    attempt.request = std::move(request);
+    attempt.entryId = QueueEntryId(++m_lastEntryId);
+    attempt.queuedAt = now;
+    attempt.queuedWorkAhead = m_queue.queuedWork();
+    updateEstimates(attempt, now);
+    attempt.timeoutAt = attempt.request.deadline - attempt.expectedDuration;
+    m_attemptsByEntry[attempt.entryId] = &attempt;
+    m_timeouts.emplace(attempt.timeoutAt, attempt.entryId);
+    m_queue.push(attempt.request.flow, QueueEntry{attempt.entryId, attempt.work});
+    addExpectedKeys(attempt.request);
+}
+
+void AdmissionGate::startQueued(Core::TimePoint now, std::vector<GateAction> &actions)
+{
+    m_currentTime = now;
+    while (m_isEngineUp && hasEngineCapacity(now)) {
+        const std::optional<QueueEntry> entryId = m_queue.popCheapest(*this, m_options.reorderLimits);
+        if (!entryId) {
             return;
         }
-        start(*m_byTicket.at(ticket->id), now, actions);
+        start(*m_attemptsByEntry.at(entryId->id), now, actions);
     }
 }
 
-void AdmissionGate::start(Held &held, Core::TimePoint now, std::vector<GateAction> &actions)
+void AdmissionGate::start(Attempt &attempt, Core::TimePoint now, std::vector<GateAction> &actions)
 {
-    const microseconds charged = held.work;
-    estimate(held, now);
-    if (now + held.span > held.request.deadline) {
-        m_queue.charge(held.request.flow, -charged);
-        refuseQueued(held, GateRefusal::Deadline, now, actions);
+    const microseconds charged = attempt.work;
+    updateEstimates(attempt, now);
+    if (now + attempt.expectedDuration > attempt.request.deadline) {
+        m_queue.charge(attempt.request.flow, -charged);
+        refuseQueued(attempt, GateRefusal::Deadline, now, actions);
         return;
     }
-    m_queue.charge(held.request.flow, held.work - charged);
-    m_cost.noteQueueWait(held.workBefore, spanBetween(held.queuedAt, now));
-    m_duplicates.noteStarted(held.request.ref);
-    m_alarms.erase({held.alarm, held.ticket});
-    held.alarm = held.request.deadline;
-    m_alarms.emplace(held.alarm, held.ticket);
-    held.state = State::Prefill;
-    held.startedAt = now;
+    m_queue.charge(attempt.request.flow, attempt.work - charged);
+    m_cost.addQueueWait(attempt.queuedWorkAhead, durationBetween(attempt.queuedAt, now));
+    m_duplicates.recordStarted(attempt.request.ref);
+    m_timeouts.erase({attempt.timeoutAt, attempt.entryId});
+    attempt.timeoutAt = attempt.request.deadline;
+    m_timeouts.emplace(attempt.timeoutAt, attempt.entryId);
+    attempt.state = State::Prefill;
+    attempt.startedAt = now;
     if (m_prefills.empty()) {
         m_prefillSince = now;
     }
-    m_prefills.push_back(&held);
+    m_prefills.push_back(&attempt);
     ++m_running;
-    m_cache.noteRunStarted(held.request.ref, held.request.version, held.request.keys);
-    actions.emplace_back(StartRun{held.request.ref, m_cache.likelyPieces(held.request.keys, now), spanBetween(held.queuedAt, now)});
+    m_cache.recordRunStarted(attempt.request.ref, attempt.request.version, attempt.request.keys);
+    actions.emplace_back(StartRun{attempt.request.ref, m_cache.likelyPieces(attempt.request.keys, now), durationBetween(attempt.queuedAt, now)});
 }
 
-void AdmissionGate::refuseQueued(Held &held, GateRefusal reason, Core::TimePoint now, std::vector<GateAction> &actions)
+void AdmissionGate::refuseQueued(Attempt &attempt, GateRefusal reason, Core::TimePoint now, std::vector<GateAction> &actions)
 {
-    m_duplicates.noteNotRun(held.request.ref);
-    m_queue.erase(held.ticket);
-    actions.emplace_back(Refuse{held.request.ref, reason, retryAfter(reason, held.request.flow, now)});
-    release(held);
+    m_duplicates.recordNotRun(attempt.request.ref);
+    m_queue.erase(attempt.entryId);
+    actions.emplace_back(Refuse{attempt.request.ref, reason, retryAfter(reason, attempt.request.flow, now)});
+    removeAttempt(attempt);
 }
 
 std::vector<GateAction> AdmissionGate::refuseAllQueued(GateRefusal reason, Core::TimePoint now)
 {
     std::vector<GateAction> actions;
-    while (const std::optional<TicketId> ticket = m_queue.lastOfLargest()) {
-        refuseQueued(*m_byTicket.at(*ticket), reason, now, actions);
+    while (const std::optional<QueueEntryId> entryId = m_queue.newestOfLargestFlow()) {
+        refuseQueued(*m_attemptsByEntry.at(*entryId), reason, now, actions);
     }
     return actions;
 }
 
-void AdmissionGate::noteWait(Core::TimePoint now)
+void AdmissionGate::updateOverloadLevel(Core::TimePoint now)
 {
-    m_overload.noteWait(totalWait(now), now);
+    m_overload.addWaitSample(totalWait(now), now);
 }
 
-void AdmissionGate::estimate(Held &held, Core::TimePoint now) const
+void AdmissionGate::updateEstimates(Attempt &attempt, Core::TimePoint now) const
 {
-    const GateRequest &request = held.request;
+    const GateRequest &request = attempt.request;
     const std::uint32_t warm
-        = held.state == State::Queued && held.ticket == TicketId{} ? warmPieces(request.keys, now) : m_cache.likelyPieces(request.keys, now);
-    held.missingTokens = m_cost.missingTokens(request.promptTokens, warm) + request.resumeTokens;
-    held.prefill = m_cost.prefill(held.missingTokens);
+        = attempt.state == State::Queued && attempt.entryId == QueueEntryId{} ? warmPieces(request.keys, now) : m_cache.likelyPieces(request.keys, now);
+    attempt.missingTokens = m_cost.missingTokens(request.promptTokens, warm) + request.resumeTokens;
+    attempt.prefill = m_cost.prefillTime(attempt.missingTokens);
     const std::uint32_t tokensLeft = request.maximumTokens - std::min(request.maximumTokens, request.resumeTokens);
-    held.work = held.prefill + m_cost.decodeWork(tokensLeft);
-    held.span = held.prefill + m_cost.answerSpan(tokensLeft);
+    attempt.work = attempt.prefill + m_cost.expectedDecodeWork(tokensLeft);
+    attempt.expectedDuration = attempt.prefill + m_cost.expectedAnswerDuration(tokensLeft);
 }
 
 // Most engines tell only with the last token how much of the prompt was cached.
-void AdmissionGate::learnPrefill(Held &held, std::uint32_t cachedTokens)
+void AdmissionGate::addPrefillSample(Attempt &attempt, std::uint32_t cachedTokens)
 {
-    if (held.prefillSpan) {
-        const std::uint32_t tokens = held.request.promptTokens + held.request.resumeTokens;
-        m_cost.notePrefill(tokens - std::min(cachedTokens, tokens), *held.prefillSpan);
-        held.prefillSpan.reset();
+    if (attempt.measuredPrefill) {
+        const std::uint32_t tokens = attempt.request.promptTokens + attempt.request.resumeTokens;
+        m_cost.addPrefill(tokens - std::min(cachedTokens, tokens), *attempt.measuredPrefill);
+        attempt.measuredPrefill.reset();
     }
 }
 
 // What the prompt took beyond or below its estimate is forgotten with it: the next one begins now.
-void AdmissionGate::endPrefill(Held &held, Core::TimePoint now)
+void AdmissionGate::removePrefill(Attempt &attempt, Core::TimePoint now)
 {
-    std::erase(m_prefills, &held);
+    std::erase(m_prefills, &attempt);
     m_prefillSince = now;
 }
 
 // The engine is handed only so many prompts that it has not begun: what waits there is out of the reach of shares and deadlines.
-bool AdmissionGate::hasRoom(Core::TimePoint now) const
+bool AdmissionGate::hasEngineCapacity(Core::TimePoint now) const
 {
     return m_running < m_options.maximumRunning && m_prefills.size() < m_options.maximumPrefills && prefillAhead(now) < m_options.maximumPrefillAhead;
 }
@@ -470,10 +470,10 @@
 microseconds AdmissionGate::prefillAhead(Core::TimePoint now) const
 {
     microseconds ahead(0);
-    for (const Held *held : m_prefills) {
-        ahead += held->prefill;
+    for (const Attempt *attempt : m_prefills) {
+        ahead += attempt->prefill;
     }
-    return m_prefills.empty() ? ahead : ahead - std::min(m_prefills.front()->prefill, spanBetween(m_prefillSince, now));
+    return m_prefills.empty() ? ahead : ahead - std::min(m_prefills.front()->prefill, durationBetween(m_prefillSince, now));
 }
 
 microseconds AdmissionGate::expectedWait(const FlowPath &flow, Core::TimePoint now) const
@@ -488,7 +488,7 @@
     case GateRefusal::Deadline:
     case GateRefusal::Overload:
         // Half the flow's queue will be gone then.
-        return std::clamp(expectedWait(flow, now) / 2, shortestRetryAfter, longestRetryAfter);
+        return std::clamp(expectedWait(flow, now) / 2, minimumRetryAfter, maximumRetryAfter);
     case GateRefusal::Leaving:
     case GateRefusal::NotServed:
     case GateRefusal::EngineDown:
@@ -503,25 +503,25 @@
     return prefillAhead(now) + m_cost.queueWait(m_queue.queuedWork());
 }
 
-void AdmissionGate::release(Held &held)
+void AdmissionGate::removeAttempt(Attempt &attempt)
 {
-    m_alarms.erase({held.alarm, held.ticket});
-    m_byTicket.erase(held.ticket);
-    if (held.state != State::Decode) {
-        forgetPrompt(held.request);
+    m_timeouts.erase({attempt.timeoutAt, attempt.entryId});
+    m_attemptsByEntry.erase(attempt.entryId);
+    if (attempt.state != State::Decode) {
+        removeExpectedKeys(attempt.request);
     }
-    const RequestRef ref = held.request.ref;
-    m_held.erase(ref);
+    const RequestRef ref = attempt.request.ref;
+    m_attempts.erase(ref);
 }
 
-void AdmissionGate::expectPrompt(const GateRequest &request)
+void AdmissionGate::addExpectedKeys(const GateRequest &request)
 {
     for (const PrefixKey key : request.keys) {
         ++m_expectedKeys[key];
     }
 }
 
-void AdmissionGate::forgetPrompt(const GateRequest &request)
+void AdmissionGate::removeExpectedKeys(const GateRequest &request)
 {
     for (const PrefixKey key : request.keys) {
         const auto found = m_expectedKeys.find(key);
@@ -531,10 +531,10 @@
     }
 }
 
-AdmissionGate::Held *AdmissionGate::find(const RequestRef &ref)
+AdmissionGate::Attempt *AdmissionGate::findAttempt(const RequestRef &ref)
 {
-    const auto found = m_held.find(ref);
-    return found == m_held.end() ? nullptr : &found->second;
+    const auto found = m_attempts.find(ref);
+    return found == m_attempts.end() ? nullptr : &found->second;
 }
 
 } // namespace Verbena::Decisions
--- a/src/libs/decisions/gate/admissiongate.h
+++ b/src/libs/decisions/gate/admissiongate.h
@@ -6,7 +6,7 @@
 #include "duplicatefilter.h"
 #include "fairqueue.h"
 #include "gatetypes.h"
-#include "heatmeter.h"
+#include "prefixloadmeter.h"
 #include "overloadcontrol.h"
 
 #include <deque>
@@ -26,18 +26,18 @@
     std::chrono::milliseconds maximumPrefillAhead{100}; ///< Prompts handed to the engine beyond the one it works on.
     std::size_t duplicateCapacity = 16384;
     std::chrono::milliseconds duplicateMargin{60000}; ///< How long after its deadline a copy may still come.
-    ClassOrder classOrder;
+    ReorderLimits reorderLimits;
     CacheIndexOptions cache;
     CostModelOptions cost;
     OverloadOptions overload;
-    HeatOptions heat;
+    PrefixLoadOptions prefixLoad;
 };
 
 /// \brief Decides beside one backend server what runs, what waits and what is refused.
 ///
 /// Each submitted attempt ends in exactly one of StartRun, Refuse and DropQueued. Every command returns what its owner
 /// has to do now, in order. The owner calls tick() at nextDeadline().
-class AdmissionGate : private TicketCosts
+class AdmissionGate : private QueueEntryCosts
 {
 public:
     explicit AdmissionGate(const AdmissionGateOptions &options = {});
@@ -52,24 +52,24 @@
     // Runs
 
     /// \brief The first token came; \a cachedTokens of the prompt came from the cache, if the engine has told so far.
-    std::vector<GateAction> noteFirstToken(const RequestRef &ref, std::optional<std::uint32_t> cachedTokens, Core::TimePoint now);
+    std::vector<GateAction> handleFirstToken(const RequestRef &ref, std::optional<std::uint32_t> cachedTokens, Core::TimePoint now);
 
     /// \brief \a count further tokens came.
-    void noteTokens(const RequestRef &ref, std::uint32_t count, Core::TimePoint now);
+    void recordTokens(const RequestRef &ref, std::uint32_t count, Core::TimePoint now);
 
     /// \brief The run is over; every StartRun must be followed by one.
-    std::vector<GateAction> noteRunEnded(const RequestRef &ref, const RunOutcome &outcome, Core::TimePoint now);
+    std::vector<GateAction> handleRunEnded(const RequestRef &ref, const RunOutcome &outcome, Core::TimePoint now);
 
     // The engine
 
     /// \brief The engine is at \a incarnation; a new one has an empty cache and none of the old runs.
-    void noteEngineIncarnation(std::uint64_t incarnation);
+    void setEngineIncarnation(std::uint64_t incarnation);
 
     /// \brief While the engine is down everything is refused, and so is what waits.
     std::vector<GateAction> setEngineUp(bool isUp, Core::TimePoint now);
 
-    void noteCacheEvent(const CacheEvent &event, Core::TimePoint now);
-    void noteEngineLoad(const EngineLoad &load, Core::TimePoint now);
+    void handleCacheEvent(const CacheEvent &event, Core::TimePoint now);
+    void updateEngineLoad(const EngineLoad &load, Core::TimePoint now);
 
     // Settings
 
@@ -95,7 +95,7 @@
     std::uint32_t warmPieces(const std::vector<PrefixKey> &keys, Core::TimePoint now) const;
 
     /// \brief The home set that a hot prefix among \a keys should have.
-    std::optional<HeatHint> heatHint(const std::vector<PrefixKey> &keys) const;
+    std::optional<HotPrefixHint> hotPrefixHint(const std::vector<PrefixKey> &keys) const;
 
     bool isLeaving() const;
 
@@ -112,47 +112,47 @@
         Decode,
     };
 
-    struct Held
+    struct Attempt
     {
         GateRequest request;
-        TicketId ticket{};
+        QueueEntryId entryId{};
         State state = State::Queued;
         Core::TimePoint queuedAt;
         Core::TimePoint startedAt;
         Core::TimePoint lastTokenAt;
-        Core::TimePoint alarm; ///< When waiting or running on is of no more use.
+        Core::TimePoint timeoutAt; ///< When waiting or running on is of no more use.
         std::chrono::microseconds work{0}; ///< Charged to the flow.
         std::chrono::microseconds prefill{0}; ///< Expected.
-        std::chrono::microseconds workBefore{0}; ///< Queued when it came.
-        std::optional<std::chrono::microseconds> prefillSpan; ///< Measured, with the cached tokens not told yet.
-        std::chrono::microseconds span{0}; ///< Expected from the start to the last token.
+        std::chrono::microseconds queuedWorkAhead{0}; ///< Queued when it came.
+        std::optional<std::chrono::microseconds> measuredPrefill; ///< Measured, with the cached tokens not told yet.
+        std::chrono::microseconds expectedDuration{0}; ///< Expected from the start to the last token.
         std::uint32_t missingTokens = 0;
         bool isCancelled = false;
     };
 
-    std::chrono::microseconds costNow(TicketId id) const override;
-    std::optional<GateAction> refusalOf(const GateRequest &request, Core::TimePoint now);
+    std::chrono::microseconds currentCost(QueueEntryId id) const override;
+    std::optional<GateAction> checkAdmission(const GateRequest &request, Core::TimePoint now);
     std::optional<GateAction> answerDuplicate(const GateRequest &request, Core::TimePoint now);
-    void giveUpOlderAttempts(const RequestRef &ref, std::vector<GateAction> &actions);
+    void cancelOlderAttempts(const RequestRef &ref, std::vector<GateAction> &actions);
     void enqueue(GateRequest request, Core::TimePoint now);
-    void startWaiting(Core::TimePoint now, std::vector<GateAction> &actions);
-    void start(Held &held, Core::TimePoint now, std::vector<GateAction> &actions);
-    void refuseQueued(Held &held, GateRefusal reason, Core::TimePoint now, std::vector<GateAction> &actions);
+    void startQueued(Core::TimePoint now, std::vector<GateAction> &actions);
+    void start(Attempt &attempt, Core::TimePoint now, std::vector<GateAction> &actions);
+    void refuseQueued(Attempt &attempt, GateRefusal reason, Core::TimePoint now, std::vector<GateAction> &actions);
     std::vector<GateAction> refuseAllQueued(GateRefusal reason, Core::TimePoint now);
-    void noteWait(Core::TimePoint now);
-    void estimate(Held &held, Core::TimePoint now) const;
-    void learnPrefill(Held &held, std::uint32_t cachedTokens);
-    void endPrefill(Held &held, Core::TimePoint now);
-    bool hasRoom(Core::TimePoint now) const;
+    void updateOverloadLevel(Core::TimePoint now);
+    void updateEstimates(Attempt &attempt, Core::TimePoint now) const;
+    void addPrefillSample(Attempt &attempt, std::uint32_t cachedTokens);
+    void removePrefill(Attempt &attempt, Core::TimePoint now);
+    bool hasEngineCapacity(Core::TimePoint now) const;
     bool isServed(const GateRequest &request) const;
     std::chrono::microseconds prefillAhead(Core::TimePoint now) const;
     std::chrono::microseconds expectedWait(const FlowPath &flow, Core::TimePoint now) const;
     std::chrono::microseconds retryAfter(GateRefusal reason, const FlowPath &flow, Core::TimePoint now) const;
     std::chrono::microseconds totalWait(Core::TimePoint now) const;
-    void release(Held &held);
-    void expectPrompt(const GateRequest &request);
-    void forgetPrompt(const GateRequest &request);
-    Held *find(const RequestRef &ref);
+    void removeAttempt(Attempt &attempt);
+    void addExpectedKeys(const GateRequest &request);
+    void removeExpectedKeys(const GateRequest &request);
+    Attempt *findAttempt(const RequestRef &ref);
 
     AdmissionGateOptions m_options;
     CacheIndex m_cache;
@@ -160,16 +160,16 @@
     FairQueue m_queue;
     DuplicateFilter m_duplicates;
     OverloadControl m_overload;
-    HeatMeter m_heat;
-    std::unordered_map<RequestRef, Held, RequestRefHash> m_held;
-    std::unordered_map<TicketId, Held *> m_byTicket;
-    std::set<std::pair<Core::TimePoint, TicketId>> m_alarms;
+    PrefixLoadMeter m_prefixLoad;
+    std::unordered_map<RequestRef, Attempt, RequestRefHash> m_attempts;
+    std::unordered_map<QueueEntryId, Attempt *> m_attemptsByEntry;
+    std::set<std::pair<Core::TimePoint, QueueEntryId>> m_timeouts;
     std::vector<ModelVersion> m_served;
-    std::uint64_t m_lastTicket = 0;
+    std::uint64_t m_lastEntryId = 0;
     std::unordered_map<PrefixKey, std::size_t> m_expectedKeys; ///< Of prompts that wait or are being processed, with their number.
     std::size_t m_running = 0;
-    std::deque<const Held *> m_prefills; ///< Runs without a first token, the oldest first.
-    Core::TimePoint m_now; ///< Of the command that is carried out.
+    std::deque<const Attempt *> m_prefills; ///< Runs without a first token, the oldest first.
+    Core::TimePoint m_currentTime; ///< Of the command that is carried out.
     Core::TimePoint m_prefillSince; ///< When the engine began the prompt it works on.
     EngineLoad m_engineLoad;
     bool m_isLeaving = false;
--- a/src/libs/decisions/gate/cacheindex.cpp
+++ b/src/libs/decisions/gate/cacheindex.cpp
@@ -6,30 +6,30 @@
 
 namespace {
 
-constexpr std::chrono::milliseconds shortestAssumedLife(500);
-constexpr std::chrono::milliseconds longestAssumedLife(600000);
+constexpr std::chrono::milliseconds minimumAssumedLifetime(500);
+constexpr std::chrono::milliseconds maximumAssumedLifetime(600000);
 
 } // namespace
 
 CacheIndex::CacheIndex(const CacheIndexOptions &options)
     : m_options(options)
-    , m_assumedLife(options.firstAssumedLife)
+    , m_assumedLifetime(options.initialAssumedLifetime)
 {
 }
 
-void CacheIndex::noteIncarnation(std::uint64_t incarnation)
+void CacheIndex::setIncarnation(std::uint64_t incarnation)
 {
     if (incarnation <= m_incarnation) {
         return;
     }
     m_incarnation = incarnation;
     m_lastSequence = 0;
-    m_heldBack.clear();
-    m_missingUntil.reset();
-    forgetAll();
+    m_bufferedEvents.clear();
+    m_gapDeadline.reset();
+    clear();
 }
 
-void CacheIndex::noteRunStarted(const RequestRef &ref, const ModelVersion &version, const std::vector<PrefixKey> &keys)
+void CacheIndex::recordRunStarted(const RequestRef &ref, const ModelVersion &version, const std::vector<PrefixKey> &keys)
 {
     if (m_runs.contains(ref)) {
         return;
@@ -42,53 +42,53 @@
     }
 }
 
-void CacheIndex::notePromptProcessed(const RequestRef &ref, std::optional<std::uint32_t> cachedPieces, Core::TimePoint now)
+void CacheIndex::recordPromptProcessed(const RequestRef &ref, std::optional<std::uint32_t> cachedPieces, Core::TimePoint now)
 {
     const Run *run = findRun(ref);
     if (run == nullptr) {
         return;
     }
     if (cachedPieces) {
-        learnLife(*run, *cachedPieces, now);
+        updateAssumedLifetime(*run, *cachedPieces, now);
     }
     for (std::size_t piece = 0; piece < run->keys.size(); ++piece) {
         const bool wasCached = cachedPieces && piece < *cachedPieces;
         // What was filled anew is told by events, if the engine sends them; what it found is worth believing for a while.
         if (wasCached || !m_hasEvents || m_byKey.contains(run->keys[piece])) {
-            assume(*run, piece, now);
+            assumeCached(*run, piece, now);
         }
     }
 }
 
-void CacheIndex::noteEvent(const CacheEvent &event, Core::TimePoint now)
+void CacheIndex::handleEvent(const CacheEvent &event, Core::TimePoint now)
 {
-    noteIncarnation(event.incarnation);
+    setIncarnation(event.incarnation);
     if (event.incarnation < m_incarnation || event.sequence <= m_lastSequence) {
         return;
     }
     m_hasEvents = true;
-    m_heldBack.emplace(event.sequence, event);
+    m_bufferedEvents.emplace(event.sequence, event);
     applyReady(now);
-    if (m_heldBack.size() > m_options.maximumHeldBack) {
-        giveUpOnMissing(now);
+    if (m_bufferedEvents.size() > m_options.maximumBufferedEvents) {
+        skipMissingEvents(now);
         applyReady(now);
     }
 }
 
 void CacheIndex::tick(Core::TimePoint now)
 {
-    if (m_missingUntil && *m_missingUntil <= now) {
-        giveUpOnMissing(now);
+    if (m_gapDeadline && *m_gapDeadline <= now) {
+        skipMissingEvents(now);
         applyReady(now);
     }
 }
 
 std::optional<Core::TimePoint> CacheIndex::nextDeadline() const
 {
-    return m_missingUntil;
+    return m_gapDeadline;
 }
 
-void CacheIndex::dropVersion(const ModelVersion &version)
+void CacheIndex::removeVersion(const ModelVersion &version)
 {
     const std::uint16_t number = versionNumber(version);
     for (auto entry = m_entries.begin(); entry != m_entries.end();) {
@@ -103,12 +103,12 @@
     std::erase_if(m_runOrder, [this](const RequestRef &ref) { return !m_runs.contains(ref); });
 }
 
-std::uint32_t CacheIndex::knownPieces(const std::vector<PrefixKey> &keys) const
+std::uint32_t CacheIndex::confirmedPieces(const std::vector<PrefixKey> &keys) const
 {
     std::uint32_t count = 0;
     for (const PrefixKey key : keys) {
         const auto found = m_byKey.find(key);
-        if (found == m_byKey.end() || !isKnown(*found->second)) {
+        if (found == m_byKey.end() || !isConfirmed(*found->second)) {
             break;
         }
         ++count;
@@ -144,26 +144,26 @@
     return m_entries.size();
 }
 
-std::uint64_t CacheIndex::lostGaps() const
+std::uint64_t CacheIndex::lostEventGaps() const
 {
     return m_generation;
 }
 
-bool CacheIndex::isConfirmed(const Entry &entry) const
+bool CacheIndex::isBlockCurrent(const Entry &entry) const
 {
     return entry.hasBlock && entry.generation == m_generation;
 }
 
 // While an event is missing, any block may have been removed by it; so nothing is known until it comes or is given up.
-bool CacheIndex::isKnown(const Entry &entry) const
+bool CacheIndex::isConfirmed(const Entry &entry) const
 {
-    return isConfirmed(entry) && m_heldBack.empty();
+    return isBlockCurrent(entry) && m_bufferedEvents.empty();
 }
 
 bool CacheIndex::isLikely(const Entry &entry, Core::TimePoint now) const
 {
-    const bool isNewlyDoubted = entry.hasBlock && entry.generation + 1 == m_generation;
-    return isConfirmed(entry) || now < entry.assumedUntil || (isNewlyDoubted && now < m_doubtedUntil);
+    const bool isRecentlyUncertain = entry.hasBlock && entry.generation + 1 == m_generation;
+    return isBlockCurrent(entry) || now < entry.assumedUntil || (isRecentlyUncertain && now < m_uncertainUntil);
 }
 
 std::uint16_t CacheIndex::versionNumber(const ModelVersion &version)
@@ -184,15 +184,15 @@
 
 void CacheIndex::applyReady(Core::TimePoint now)
 {
-    while (!m_heldBack.empty() && m_heldBack.begin()->first == m_lastSequence + 1) {
-        const CacheEvent event = std::move(m_heldBack.begin()->second);
-        m_heldBack.erase(m_heldBack.begin());
+    while (!m_bufferedEvents.empty() && m_bufferedEvents.begin()->first == m_lastSequence + 1) {
+        const CacheEvent event = std::move(m_bufferedEvents.begin()->second);
+        m_bufferedEvents.erase(m_bufferedEvents.begin());
         m_lastSequence = event.sequence;
         apply(event);
-        m_missingUntil.reset();
+        m_gapDeadline.reset();
     }
-    if (!m_heldBack.empty() && !m_missingUntil) {
-        m_missingUntil = now + m_options.reorderWait;
+    if (!m_bufferedEvents.empty() && !m_gapDeadline) {
+        m_gapDeadline = now + m_options.reorderTimeout;
     }
 }
 
@@ -200,18 +200,18 @@
 {
     switch (event.kind) {
     case CacheEvent::Kind::Stored:
-        store(event);
+        applyStored(event);
         break;
     case CacheEvent::Kind::Removed:
-        remove(event);
+        applyRemoved(event);
         break;
     case CacheEvent::Kind::Cleared:
-        forgetAll();
+        clear();
         break;
     }
 }
 
-void CacheIndex::store(const CacheEvent &event)
+void CacheIndex::applyStored(const CacheEvent &event)
 {
     const Run *run = findRun(event.request);
     if (run == nullptr) {
@@ -236,7 +236,7 @@
     }
 }
 
-void CacheIndex::remove(const CacheEvent &event)
+void CacheIndex::applyRemoved(const CacheEvent &event)
 {
     for (const BlockId block : event.blocks) {
         const auto found = m_byBlock.find(block);
@@ -246,41 +246,41 @@
     }
 }
 
-void CacheIndex::giveUpOnMissing(Core::TimePoint now)
+void CacheIndex::skipMissingEvents(Core::TimePoint now)
 {
-    m_missingUntil.reset();
-    if (m_heldBack.empty()) {
+    m_gapDeadline.reset();
+    if (m_bufferedEvents.empty()) {
         return;
     }
     ++m_generation;
-    m_doubtedUntil = now + m_assumedLife;
-    m_lastSequence = m_heldBack.begin()->first - 1;
+    m_uncertainUntil = now + m_assumedLifetime;
+    m_lastSequence = m_bufferedEvents.begin()->first - 1;
 }
 
 // An answer that found a prefix does not make it known again: events that were lost may have moved it to another block,
 // and then its removal could not be recognised.
-void CacheIndex::assume(const Run &run, std::size_t piece, Core::TimePoint now)
+void CacheIndex::assumeCached(const Run &run, std::size_t piece, Core::TimePoint now)
 {
     Entry &entry = entryFor(run.keys[piece]);
     entry.version = run.version;
-    entry.assumedUntil = now + m_assumedLife;
+    entry.assumedUntil = now + m_assumedLifetime;
 }
 
 // Assumes a shorter life after each miss and a longer one after each hit on what was nearly given up.
-void CacheIndex::learnLife(const Run &run, std::uint32_t cachedPieces, Core::TimePoint now)
+void CacheIndex::updateAssumedLifetime(const Run &run, std::uint32_t cachedPieces, Core::TimePoint now)
 {
     for (std::size_t piece = 0; piece < run.keys.size(); ++piece) {
         const auto found = m_byKey.find(run.keys[piece]);
-        if (found == m_byKey.end() || isConfirmed(*found->second)) {
+        if (found == m_byKey.end() || isBlockCurrent(*found->second)) {
             continue;
         }
         const bool isAssumed = isLikely(*found->second, now);
         if (piece >= cachedPieces && isAssumed) {
-            m_assumedLife = std::max(shortestAssumedLife, m_assumedLife * 3 / 4);
+            m_assumedLifetime = std::max(minimumAssumedLifetime, m_assumedLifetime * 3 / 4);
             return;
         }
         if (piece < cachedPieces && !isAssumed) {
-            m_assumedLife = std::min(longestAssumedLife, m_assumedLife * 5 / 4);
+            m_assumedLifetime = std::min(maximumAssumedLifetime, m_assumedLifetime * 5 / 4);
             return;
         }
     }
@@ -311,7 +311,7 @@
     m_entries.erase(entry);
 }
 
-void CacheIndex::forgetAll()
+void CacheIndex::clear()
 {
     m_entries.clear();
     m_byKey.clear();
--- a/src/libs/decisions/gate/cacheindex.h
+++ b/src/libs/decisions/gate/cacheindex.h
@@ -34,9 +34,9 @@
 {
     std::size_t maximumEntries = 65536;
     std::size_t maximumRuns = 1024; ///< Runs whose keys are kept so that late events can be understood.
-    std::size_t maximumHeldBack = 64; ///< Events kept while an earlier one is missing.
-    std::chrono::milliseconds reorderWait{200}; ///< How long an event that is missing may still come.
-    std::chrono::milliseconds firstAssumedLife{10000}; ///< How long a prefix is assumed to stay when no event tells.
+    std::size_t maximumBufferedEvents = 64; ///< Events kept while an earlier one is missing.
+    std::chrono::milliseconds reorderTimeout{200}; ///< How long an event that is missing may still come.
+    std::chrono::milliseconds initialAssumedLifetime{10000}; ///< How long a prefix is assumed to stay when no event tells.
 };
 
 /// \brief Which prefixes the engine beside this process has in its cache.
@@ -49,15 +49,15 @@
     explicit CacheIndex(const CacheIndexOptions &options = {});
 
     /// \brief The engine is at \a incarnation. A later one than before forgets everything; an earlier one is ignored.
-    void noteIncarnation(std::uint64_t incarnation);
+    void setIncarnation(std::uint64_t incarnation);
 
     /// \brief A run with prefixes \a keys of \a version was handed to the engine.
-    void noteRunStarted(const RequestRef &ref, const ModelVersion &version, const std::vector<PrefixKey> &keys);
+    void recordRunStarted(const RequestRef &ref, const ModelVersion &version, const std::vector<PrefixKey> &keys);
 
     /// \brief The run's whole prompt was processed, and \a cachedPieces of it were found in the cache, if the engine told.
-    void notePromptProcessed(const RequestRef &ref, std::optional<std::uint32_t> cachedPieces, Core::TimePoint now);
+    void recordPromptProcessed(const RequestRef &ref, std::optional<std::uint32_t> cachedPieces, Core::TimePoint now);
 
-    void noteEvent(const CacheEvent &event, Core::TimePoint now);
+    void handleEvent(const CacheEvent &event, Core::TimePoint now);
 
     /// \brief Gives up on missing events whose time is over.
     void tick(Core::TimePoint now);
@@ -66,10 +66,10 @@
     std::optional<Core::TimePoint> nextDeadline() const;
 
     /// \brief Forgets all prefixes of \a version, since its weights have been unloaded.
-    void dropVersion(const ModelVersion &version);
+    void removeVersion(const ModelVersion &version);
 
     /// \brief How many of \a keys, from the first on, are known to be cached.
-    std::uint32_t knownPieces(const std::vector<PrefixKey> &keys) const;
+    std::uint32_t confirmedPieces(const std::vector<PrefixKey> &keys) const;
 
     /// \brief How many of \a keys, from the first on, are known or likely to be cached.
     std::uint32_t likelyPieces(const std::vector<PrefixKey> &keys, Core::TimePoint now) const;
@@ -81,7 +81,7 @@
     std::size_t size() const;
 
     /// \brief Times that events were lost for good.
-    std::uint64_t lostGaps() const;
+    std::uint64_t lostEventGaps() const;
 
 private:
     struct Entry
@@ -103,31 +103,31 @@
 
     using EntryList = std::list<Entry>;
 
+    bool isBlockCurrent(const Entry &entry) const;
     bool isConfirmed(const Entry &entry) const;
-    bool isKnown(const Entry &entry) const;
     bool isLikely(const Entry &entry, Core::TimePoint now) const;
     std::uint16_t versionNumber(const ModelVersion &version);
     const Run *findRun(const RequestRef &ref) const;
     void applyReady(Core::TimePoint now);
     void apply(const CacheEvent &event);
-    void store(const CacheEvent &event);
-    void remove(const CacheEvent &event);
-    void giveUpOnMissing(Core::TimePoint now);
-    void assume(const Run &run, std::size_t piece, Core::TimePoint now);
-    void learnLife(const Run &run, std::uint32_t cachedPieces, Core::TimePoint now);
+    void applyStored(const CacheEvent &event);
+    void applyRemoved(const CacheEvent &event);
+    void skipMissingEvents(Core::TimePoint now);
+    void assumeCached(const Run &run, std::size_t piece, Core::TimePoint now);
+    void updateAssumedLifetime(const Run &run, std::uint32_t cachedPieces, Core::TimePoint now);
     Entry &entryFor(PrefixKey key);
     void erase(EntryList::iterator entry);
-    void forgetAll();
+    void clear();
 
     CacheIndexOptions m_options;
     std::uint64_t m_incarnation = 0;
     std::uint64_t m_lastSequence = 0;
     std::uint32_t m_generation = 0;
     bool m_hasEvents = false;
-    std::chrono::milliseconds m_assumedLife;
-    std::map<std::uint64_t, CacheEvent> m_heldBack;
-    std::optional<Core::TimePoint> m_missingUntil;
-    Core::TimePoint m_doubtedUntil; ///< Until then, what the last gap put in doubt is still taken to be likely.
+    std::chrono::milliseconds m_assumedLifetime;
+    std::map<std::uint64_t, CacheEvent> m_bufferedEvents;
+    std::optional<Core::TimePoint> m_gapDeadline;
+    Core::TimePoint m_uncertainUntil; ///< Until then, what the last gap put in doubt is still taken to be likely.
     EntryList m_entries; ///< Most recently used first.
     std::unordered_map<PrefixKey, EntryList::iterator> m_byKey;
     std::unordered_map<BlockId, EntryList::iterator> m_byBlock;
--- a/src/libs/decisions/gate/costmodel.cpp
+++ b/src/libs/decisions/gate/costmodel.cpp
@@ -6,13 +6,13 @@
 
 namespace {
 
-constexpr double learningRate = 0.1;
-constexpr std::uint32_t fewestTokensToLearnFrom = 64; // Below, overhead hides the cost of a token.
-constexpr std::chrono::milliseconds shortestQueueToLearnFrom{10};
+constexpr double smoothingFactor = 0.1;
+constexpr std::uint32_t minimumPrefillTokens = 64; // Below, overhead hides the cost of a token.
+constexpr std::chrono::milliseconds minimumQueuedWork{10};
 
-double seconds(std::chrono::microseconds span)
+double seconds(std::chrono::microseconds duration)
 {
-    return std::chrono::duration<double>(span).count();
+    return std::chrono::duration<double>(duration).count();
 }
 
 std::chrono::microseconds microseconds(double secondsCount)
@@ -20,46 +20,46 @@
     return std::chrono::duration_cast<std::chrono::microseconds>(std::chrono::duration<double>(secondsCount));
 }
 
-void learn(double &value, double observed)
+void updateEstimate(double &value, double observed)
 {
-    value += learningRate * (observed - value);
+    value += smoothingFactor * (observed - value);
 }
 
 } // namespace
 
 CostModel::CostModel(const CostModelOptions &options)
     : m_options(options)
-    , m_prefillSecondsPerToken(seconds(options.firstPrefillPerPiece) / std::max(options.pieceTokens, 1U))
-    , m_tokenInterval(seconds(options.firstTokenInterval))
-    , m_decodeSecondsPerToken(seconds(options.firstTokenInterval))
+    , m_prefillSecondsPerToken(seconds(options.initialPrefillPerPiece) / std::max(options.pieceTokens, 1U))
+    , m_secondsPerToken(seconds(options.initialTokenInterval))
+    , m_engineSecondsPerToken(seconds(options.initialTokenInterval))
 {
 }
 
-void CostModel::notePrefill(std::uint32_t missingTokens, std::chrono::microseconds span)
+void CostModel::addPrefill(std::uint32_t missingTokens, std::chrono::microseconds duration)
 {
-    if (missingTokens >= fewestTokensToLearnFrom) {
-        learn(m_prefillSecondsPerToken, std::max(0.0, seconds(span - m_options.requestOverhead)) / missingTokens);
+    if (missingTokens >= minimumPrefillTokens) {
+        updateEstimate(m_prefillSecondsPerToken, std::max(0.0, seconds(duration - m_options.requestOverhead)) / missingTokens);
     }
 }
 
-void CostModel::noteTokenInterval(std::chrono::microseconds interval, std::uint32_t running)
+void CostModel::addTokenInterval(std::chrono::microseconds interval, std::uint32_t running)
 {
-    learn(m_tokenInterval, seconds(interval));
-    learn(m_decodeSecondsPerToken, seconds(interval) / std::max(running, 1U));
+    updateEstimate(m_secondsPerToken, seconds(interval));
+    updateEstimate(m_engineSecondsPerToken, seconds(interval) / std::max(running, 1U));
 }
 
-void CostModel::noteAnswerLength(std::uint32_t tokens, std::uint32_t maximumTokens)
+void CostModel::addAnswerLength(std::uint32_t tokens, std::uint32_t maximumTokens)
 {
     if (maximumTokens > 0) {
-        learn(m_lengthRatio, std::min(1.0, static_cast<double>(tokens) / maximumTokens));
+        updateEstimate(m_lengthRatio, std::min(1.0, static_cast<double>(tokens) / maximumTokens));
     }
 }
 
-void CostModel::noteQueueWait(std::chrono::microseconds queuedWork, std::chrono::microseconds span)
+void CostModel::addQueueWait(std::chrono::microseconds queuedWork, std::chrono::microseconds duration)
 {
-    if (queuedWork >= shortestQueueToLearnFrom) {
-        m_waited += seconds(span) - learningRate * m_waited;
-        m_queued += seconds(queuedWork) - learningRate * m_queued;
+    if (queuedWork >= minimumQueuedWork) {
+        m_totalWait += seconds(duration) - smoothingFactor * m_totalWait;
+        m_totalQueuedWork += seconds(queuedWork) - smoothingFactor * m_totalQueuedWork;
     }
 }
 
@@ -68,24 +68,24 @@
     return microseconds(m_prefillSecondsPerToken * m_options.pieceTokens);
 }
 
-std::chrono::microseconds CostModel::prefill(std::uint32_t missingTokens) const
+std::chrono::microseconds CostModel::prefillTime(std::uint32_t missingTokens) const
 {
     return m_options.requestOverhead + microseconds(m_prefillSecondsPerToken * missingTokens);
 }
 
-std::chrono::microseconds CostModel::decodeWork(std::uint32_t maximumTokens) const
+std::chrono::microseconds CostModel::expectedDecodeWork(std::uint32_t maximumTokens) const
 {
-    return microseconds(m_decodeSecondsPerToken * m_lengthRatio * maximumTokens);
+    return microseconds(m_engineSecondsPerToken * m_lengthRatio * maximumTokens);
 }
 
-std::chrono::microseconds CostModel::answerSpan(std::uint32_t maximumTokens) const
+std::chrono::microseconds CostModel::expectedAnswerDuration(std::uint32_t maximumTokens) const
 {
-    return microseconds(m_tokenInterval * m_lengthRatio * maximumTokens);
+    return microseconds(m_secondsPerToken * m_lengthRatio * maximumTokens);
 }
 
-std::chrono::microseconds CostModel::decodeWorkOf(std::uint32_t tokens) const
+std::chrono::microseconds CostModel::decodeWorkForTokens(std::uint32_t tokens) const
 {
-    return microseconds(m_decodeSecondsPerToken * tokens);
+    return microseconds(m_engineSecondsPerToken * tokens);
 }
 
 std::uint32_t CostModel::missingTokens(std::uint32_t promptTokens, std::uint32_t warmPieces) const
@@ -96,7 +96,7 @@
 
 std::chrono::microseconds CostModel::queueWait(std::chrono::microseconds queuedWork) const
 {
-    return microseconds(seconds(queuedWork) * m_waited / m_queued);
+    return microseconds(seconds(queuedWork) * m_totalWait / m_totalQueuedWork);
 }
 
 std::uint32_t CostModel::pieceTokens() const
--- a/src/libs/decisions/gate/duplicatefilter.cpp
+++ b/src/libs/decisions/gate/duplicatefilter.cpp
@@ -8,7 +8,7 @@
 
 constexpr std::uint32_t lastBit = 63;
 
-std::uint64_t bitOf(std::uint32_t attempt)
+std::uint64_t attemptBit(std::uint32_t attempt)
 {
     return std::uint64_t(1) << std::min(attempt, lastBit);
 }
@@ -23,69 +23,69 @@
 
 DuplicateFilter::Verdict DuplicateFilter::check(const GateRequest &request, Core::TimePoint now)
 {
-    expire(now);
-    const auto found = m_seen.find(request.ref.request);
-    if (found == m_seen.end()) {
-        return m_seen.size() < m_capacity ? Verdict::New : Verdict::NoRoom;
+    removeExpired(now);
+    const auto found = m_entries.find(request.ref.request);
+    if (found == m_entries.end()) {
+        return m_entries.size() < m_capacity ? Verdict::New : Verdict::CapacityReached;
     }
-    const Seen &seen = found->second;
-    const std::uint64_t bit = bitOf(request.ref.attempt);
-    if ((seen.startedAttempts & bit) != 0 || (!request.isIdempotent && seen.startedAttempts != 0)) {
+    const Entry &entry = found->second;
+    const std::uint64_t bit = attemptBit(request.ref.attempt);
+    if ((entry.startedAttempts & bit) != 0 || (!request.isIdempotent && entry.startedAttempts != 0)) {
         return Verdict::MayHaveRun;
     }
-    if ((seen.queuedAttempts & bit) != 0) {
+    if ((entry.queuedAttempts & bit) != 0) {
         return Verdict::Queued;
     }
-    if ((seen.seenAttempts & bit) != 0) {
+    if ((entry.receivedAttempts & bit) != 0) {
         return Verdict::Refused;
     }
-    return request.ref.attempt < seen.latestAttempt ? Verdict::Superseded : Verdict::New;
+    return request.ref.attempt < entry.latestAttempt ? Verdict::Superseded : Verdict::New;
 }
 
-void DuplicateFilter::noteQueued(const GateRequest &request)
+void DuplicateFilter::recordQueued(const GateRequest &request)
 {
-    Seen &seen = m_seen[request.ref.request];
-    seen.latestAttempt = std::max(seen.latestAttempt, request.ref.attempt);
-    seen.seenAttempts |= bitOf(request.ref.attempt);
-    seen.queuedAttempts |= bitOf(request.ref.attempt);
-    const Core::TimePoint keptUntil = request.deadline + m_margin;
-    if (keptUntil > seen.keptUntil) {
-        seen.keptUntil = keptUntil;
-        m_byTime.emplace(keptUntil, request.ref.request);
+    Entry &entry = m_entries[request.ref.request];
+    entry.latestAttempt = std::max(entry.latestAttempt, request.ref.attempt);
+    entry.receivedAttempts |= attemptBit(request.ref.attempt);
+    entry.queuedAttempts |= attemptBit(request.ref.attempt);
+    const Core::TimePoint expiresAt = request.deadline + m_margin;
+    if (expiresAt > entry.expiresAt) {
+        entry.expiresAt = expiresAt;
+        m_byExpiry.emplace(expiresAt, request.ref.request);
     }
 }
 
-void DuplicateFilter::noteStarted(const RequestRef &ref)
+void DuplicateFilter::recordStarted(const RequestRef &ref)
 {
-    const auto found = m_seen.find(ref.request);
-    if (found != m_seen.end()) {
-        found->second.startedAttempts |= bitOf(ref.attempt);
-        found->second.queuedAttempts &= ~bitOf(ref.attempt);
+    const auto found = m_entries.find(ref.request);
+    if (found != m_entries.end()) {
+        found->second.startedAttempts |= attemptBit(ref.attempt);
+        found->second.queuedAttempts &= ~attemptBit(ref.attempt);
     }
 }
 
-void DuplicateFilter::noteNotRun(const RequestRef &ref)
+void DuplicateFilter::recordNotRun(const RequestRef &ref)
 {
-    const auto found = m_seen.find(ref.request);
-    if (found != m_seen.end()) {
-        found->second.queuedAttempts &= ~bitOf(ref.attempt);
+    const auto found = m_entries.find(ref.request);
+    if (found != m_entries.end()) {
+        found->second.queuedAttempts &= ~attemptBit(ref.attempt);
     }
 }
 
 std::size_t DuplicateFilter::size() const
 {
-    return m_seen.size();
+    return m_entries.size();
 }
 
-void DuplicateFilter::expire(Core::TimePoint now)
+void DuplicateFilter::removeExpired(Core::TimePoint now)
 {
-    while (!m_byTime.empty() && m_byTime.begin()->first <= now) {
-        const auto found = m_seen.find(m_byTime.begin()->second);
+    while (!m_byExpiry.empty() && m_byExpiry.begin()->first <= now) {
+        const auto found = m_entries.find(m_byExpiry.begin()->second);
         // An attempt that came later may have moved the time on; then a later row stands for the request.
-        if (found != m_seen.end() && found->second.keptUntil <= now) {
-            m_seen.erase(found);
+        if (found != m_entries.end() && found->second.expiresAt <= now) {
+            m_entries.erase(found);
         }
-        m_byTime.erase(m_byTime.begin());
+        m_byExpiry.erase(m_byExpiry.begin());
     }
 }
 
--- a/src/libs/decisions/gate/duplicatefilter.h
+++ b/src/libs/decisions/gate/duplicatefilter.h
@@ -21,37 +21,37 @@
         MayHaveRun, ///< This attempt, or another of a request that may run once, was started.
         Refused, ///< This attempt was refused here before.
         Superseded, ///< A later attempt came before, and this one has never been seen.
-        NoRoom, ///< The filter is full of attempts whose copies may still come.
+        CapacityReached, ///< The filter is full of attempts whose copies may still come.
     };
 
     Verdict check(const GateRequest &request, Core::TimePoint now);
 
     /// \brief An attempt for which check() said New now waits.
-    void noteQueued(const GateRequest &request);
+    void recordQueued(const GateRequest &request);
 
-    void noteStarted(const RequestRef &ref);
+    void recordStarted(const RequestRef &ref);
 
     /// \brief A queued attempt was refused or cancelled before it ran.
-    void noteNotRun(const RequestRef &ref);
+    void recordNotRun(const RequestRef &ref);
 
     std::size_t size() const;
 
 private:
-    struct Seen
+    struct Entry
     {
         std::uint32_t latestAttempt = 0;
         std::uint64_t startedAttempts = 0; ///< One bit an attempt; the last bit stands for all later ones.
-        std::uint64_t seenAttempts = 0;
+        std::uint64_t receivedAttempts = 0;
         std::uint64_t queuedAttempts = 0;
-        Core::TimePoint keptUntil;
+        Core::TimePoint expiresAt;
     };
 
-    void expire(Core::TimePoint now);
+    void removeExpired(Core::TimePoint now);
 
     std::size_t m_capacity;
     std::chrono::milliseconds m_margin;
-    std::unordered_map<std::string, Seen> m_seen;
-    std::multimap<Core::TimePoint, std::string> m_byTime;
+    std::unordered_map<std::string, Entry> m_entries;
+    std::multimap<Core::TimePoint, std::string> m_byExpiry;
 };
 
 } // namespace Verbena::Decisions
--- a/src/libs/decisions/gate/fairqueue.cpp
+++ b/src/libs/decisions/gate/fairqueue.cpp
@@ -6,13 +6,13 @@
 
 namespace {
 
-constexpr std::size_t mostNodesKept = 4096;
+constexpr std::size_t idleCleanupThreshold = 4096;
 constexpr double smallestWeight = 1e-6;
 constexpr std::size_t levelCount = 3; // Organisation, team, class.
 
-double seconds(std::chrono::microseconds span)
+double seconds(std::chrono::microseconds duration)
 {
-    return std::chrono::duration<double>(span).count();
+    return std::chrono::duration<double>(duration).count();
 }
 
 std::chrono::microseconds microseconds(double secondsCount)
@@ -43,12 +43,12 @@
     bool isActive = false;
     std::map<std::string, std::unique_ptr<Node>> children;
     std::set<Node *, Earlier> active;
-    std::list<Ticket> tickets; ///< Of a leaf, the oldest first.
-    std::size_t passed = 0; ///< Tickets of a leaf that went before its oldest.
+    std::list<QueueEntry> entries; ///< Of a leaf, the oldest first.
+    std::size_t overtakes = 0; ///< Tickets of a leaf that went before its oldest.
 
     bool isEmpty() const
     {
-        return tickets.empty() && active.empty();
+        return entries.empty() && active.empty();
     }
 
     double activeWeight() const
@@ -88,51 +88,51 @@
     }
 }
 
-void FairQueue::push(const FlowPath &path, const Ticket &ticket)
+void FairQueue::push(const FlowPath &path, const QueueEntry &entry)
 {
-    Node *leaf = leafFor(path);
-    leaf->tickets.push_back(ticket);
-    m_places[ticket.id] = Place{leaf, std::prev(leaf->tickets.end())};
+    Node *leaf = findOrCreateLeaf(path);
+    leaf->entries.push_back(entry);
+    m_positions[entry.id] = Position{leaf, std::prev(leaf->entries.end())};
     for (Node *node = leaf; node != nullptr; node = node->parent) {
-        node->work += ticket.work;
+        node->work += entry.work;
         if (node->parent != nullptr) {
             activate(*node);
         }
     }
 }
 
-std::optional<Ticket> FairQueue::pop()
+std::optional<QueueEntry> FairQueue::pop()
 {
-    if (m_places.empty()) {
+    if (m_positions.empty()) {
         return std::nullopt;
     }
     Node &leaf = nextLeaf();
-    return serve(leaf, leaf.tickets.begin());
+    return dequeue(leaf, leaf.entries.begin());
 }
 
-std::optional<Ticket> FairQueue::popCheapest(const TicketCosts &costs, const ClassOrder &order)
+std::optional<QueueEntry> FairQueue::popCheapest(const QueueEntryCosts &costs, const ReorderLimits &limits)
 {
-    if (m_places.empty()) {
+    if (m_positions.empty()) {
         return std::nullopt;
     }
     Node &leaf = nextLeaf();
-    return serve(leaf, cheapest(leaf, costs, order));
+    return dequeue(leaf, findCheapest(leaf, costs, limits));
 }
 
-bool FairQueue::erase(TicketId id)
+bool FairQueue::erase(QueueEntryId id)
 {
-    const auto found = m_places.find(id);
-    if (found == m_places.end()) {
+    const auto found = m_positions.find(id);
+    if (found == m_positions.end()) {
         return false;
     }
-    const Place place = found->second;
-    takeOut(*place.leaf, place.ticket);
+    const Position place = found->second;
+    remove(*place.leaf, place.entry);
     return true;
 }
 
 void FairQueue::charge(const FlowPath &path, std::chrono::microseconds extra)
 {
-    for (Node *node = leafFor(path); node->parent != nullptr; node = node->parent) {
+    for (Node *node = findOrCreateLeaf(path); node->parent != nullptr; node = node->parent) {
         Node &parent = *node->parent;
         if (node->isActive) {
             parent.active.erase(node);
@@ -148,7 +148,7 @@
 // and the virtual time moves by work over the weight of all that wait. No more is ever served before than what waits.
 std::chrono::microseconds FairQueue::expectedWait(const FlowPath &path) const
 {
-    const std::vector<const Node *> chain = chainOf(path);
+    const std::vector<const Node *> chain = findNodes(path);
     double ahead = chain.size() == levelCount + 1 ? seconds(chain.back()->work) : 0.0;
     for (std::size_t level = chain.size() - 1; level > 0; --level) {
         const Node &node = *chain[level];
@@ -160,7 +160,7 @@
     return microseconds(ahead);
 }
 
-std::optional<TicketId> FairQueue::lastOfLargest() const
+std::optional<QueueEntryId> FairQueue::newestOfLargestFlow() const
 {
     const Node *node = m_root.get();
     while (!node->active.empty()) {
@@ -168,12 +168,12 @@
             return seconds(left->work) / left->weight < seconds(right->work) / right->weight;
         });
     }
-    return node->tickets.empty() ? std::nullopt : std::optional(node->tickets.back().id);
+    return node->entries.empty() ? std::nullopt : std::optional(node->entries.back().id);
 }
 
 std::size_t FairQueue::size() const
 {
-    return m_places.size();
+    return m_positions.size();
 }
 
 std::chrono::microseconds FairQueue::queuedWork() const
@@ -181,7 +181,7 @@
     return m_root->work;
 }
 
-std::vector<const FairQueue::Node *> FairQueue::chainOf(const FlowPath &path) const
+std::vector<const FairQueue::Node *> FairQueue::findNodes(const FlowPath &path) const
 {
     std::vector<const Node *> chain{m_root.get()};
     for (const std::string *name : {&path.organisation, &path.team, &path.requestClass}) {
@@ -194,17 +194,17 @@
     return chain;
 }
 
-FairQueue::Node *FairQueue::leafFor(const FlowPath &path)
+FairQueue::Node *FairQueue::findOrCreateLeaf(const FlowPath &path)
 {
-    if (m_nodes > mostNodesKept) {
+    if (m_nodeCount > idleCleanupThreshold) {
         removeIdle(*m_root);
     }
-    Node &organisation = childFor(*m_root, path.organisation);
-    Node &team = childFor(organisation, path.team);
-    return &childFor(team, path.requestClass);
+    Node &organisation = findOrCreateChild(*m_root, path.organisation);
+    Node &team = findOrCreateChild(organisation, path.team);
+    return &findOrCreateChild(team, path.requestClass);
 }
 
-FairQueue::Node &FairQueue::childFor(Node &parent, const std::string &name)
+FairQueue::Node &FairQueue::findOrCreateChild(Node &parent, const std::string &name)
 {
     std::unique_ptr<Node> &child = parent.children[name];
     if (!child) {
@@ -214,7 +214,7 @@
         child->number = parent.nextNumber++;
         child->startTag = parent.virtualTime;
         child->weight = weightOf(*child);
-        ++m_nodes;
+        ++m_nodeCount;
     }
     return *child;
 }
@@ -243,37 +243,37 @@
 }
 
 // Only so many may pass the oldest before it goes, so that each ticket waits for a bounded number of others.
-std::list<Ticket>::iterator FairQueue::cheapest(Node &leaf, const TicketCosts &costs, const ClassOrder &order)
+std::list<QueueEntry>::iterator FairQueue::findCheapest(Node &leaf, const QueueEntryCosts &costs, const ReorderLimits &limits)
 {
-    auto best = leaf.tickets.begin();
-    if (leaf.passed >= order.mostPassed) {
+    auto best = leaf.entries.begin();
+    if (leaf.overtakes >= limits.maximumOvertakes) {
         return best;
     }
-    std::chrono::microseconds bestCost = costs.costNow(best->id);
-    std::size_t looked = 1;
-    for (auto ticket = std::next(best); ticket != leaf.tickets.end() && looked < order.lookAhead; ++ticket, ++looked) {
-        const std::chrono::microseconds cost = costs.costNow(ticket->id);
+    std::chrono::microseconds bestCost = costs.currentCost(best->id);
+    std::size_t considered = 1;
+    for (auto entry = std::next(best); entry != leaf.entries.end() && considered < limits.lookAhead; ++entry, ++considered) {
+        const std::chrono::microseconds cost = costs.currentCost(entry->id);
         if (cost < bestCost) {
-            best = ticket;
+            best = entry;
             bestCost = cost;
         }
     }
     return best;
 }
 
-Ticket FairQueue::serve(Node &leaf, std::list<Ticket>::iterator next)
+QueueEntry FairQueue::dequeue(Node &leaf, std::list<QueueEntry>::iterator next)
 {
-    const Ticket ticket = *next;
-    leaf.passed = next == leaf.tickets.begin() ? 0 : leaf.passed + 1;
+    const QueueEntry entry = *next;
+    leaf.overtakes = next == leaf.entries.begin() ? 0 : leaf.overtakes + 1;
     for (Node *node = &leaf; node->parent != nullptr; node = node->parent) {
         Node &parent = *node->parent;
         parent.virtualTime = std::max(parent.virtualTime, node->startTag);
         parent.active.erase(node);
-        node->startTag += seconds(ticket.work) / node->weight;
+        node->startTag += seconds(entry.work) / node->weight;
         parent.active.insert(node);
     }
-    takeOut(leaf, next);
-    return ticket;
+    remove(leaf, next);
+    return entry;
 }
 
 // A flow that was idle starts at the present virtual time: it gets its share from now on, and nothing for the past.
@@ -288,11 +288,11 @@
     parent.active.insert(&node);
 }
 
-void FairQueue::takeOut(Node &leaf, std::list<Ticket>::iterator ticket)
+void FairQueue::remove(Node &leaf, std::list<QueueEntry>::iterator entry)
 {
-    const std::chrono::microseconds work = ticket->work;
-    m_places.erase(ticket->id);
-    leaf.tickets.erase(ticket);
+    const std::chrono::microseconds work = entry->work;
+    m_positions.erase(entry->id);
+    leaf.entries.erase(entry);
     for (Node *node = &leaf; node != nullptr; node = node->parent) {
         node->work -= work;
         if (node->isEmpty() && node->parent != nullptr) {
@@ -308,7 +308,7 @@
         removeIdle(*child->second);
         if (child->second->isEmpty() && child->second->children.empty()) {
             child = node.children.erase(child);
-            --m_nodes;
+            --m_nodeCount;
         } else {
             ++child;
         }
--- a/src/libs/decisions/gate/fairqueue.h
+++ b/src/libs/decisions/gate/fairqueue.h
@@ -11,28 +11,28 @@
 namespace Verbena::Decisions {
 
 /// \brief Names what waits in a FairQueue; chosen by the owner of the queue.
-enum class TicketId : std::uint64_t {};
+enum class QueueEntryId : std::uint64_t {};
 
 /// \brief Something that waits for its turn.
-struct Ticket
+struct QueueEntry
 {
-    TicketId id{};
+    QueueEntryId id{};
     std::chrono::microseconds work{0}; ///< Estimated engine time that it will use.
 };
 
 /// \brief Tells what tickets would cost if they were started now.
-class TicketCosts
+class QueueEntryCosts
 {
 public:
-    virtual ~TicketCosts() = default;
-    virtual std::chrono::microseconds costNow(TicketId id) const = 0;
+    virtual ~QueueEntryCosts() = default;
+    virtual std::chrono::microseconds currentCost(QueueEntryId id) const = 0;
 };
 
 /// \brief How far the order of one class may leave the order of arrival.
-struct ClassOrder
+struct ReorderLimits
 {
     std::size_t lookAhead = 32; ///< Tickets from the oldest on, the cheapest of which goes first; 1 keeps the order of arrival.
-    std::size_t mostPassed = 16; ///< Tickets that may go before the oldest.
+    std::size_t maximumOvertakes = 16; ///< Tickets that may go before the oldest.
 };
 
 /// \brief The weight of a team among the teams of its organisation, and of the organisation among the organisations.
@@ -62,16 +62,16 @@
     /// \brief Takes the shares in place of those before. Flows that are not named have weight 1.
     void setShares(const std::vector<FlowShare> &shares);
 
-    void push(const FlowPath &path, const Ticket &ticket);
+    void push(const FlowPath &path, const QueueEntry &entry);
 
     /// \brief Takes out the next ticket, or nothing if the queue is empty.
-    std::optional<Ticket> pop();
+    std::optional<QueueEntry> pop();
 
     /// \brief The same, but in the class whose turn it is the cheapest ticket goes first, within the bounds of \a order.
-    std::optional<Ticket> popCheapest(const TicketCosts &costs, const ClassOrder &order);
+    std::optional<QueueEntry> popCheapest(const QueueEntryCosts &costs, const ReorderLimits &limits);
 
     /// \brief Takes out \a id; false if it does not wait.
-    bool erase(TicketId id);
+    bool erase(QueueEntryId id);
 
     /// \brief Charges \a extra work to a flow, negative if less was used than estimated.
     void charge(const FlowPath &path, std::chrono::microseconds extra);
@@ -80,7 +80,7 @@
     std::chrono::microseconds expectedWait(const FlowPath &path) const;
 
     /// \brief The ticket that came last in the flow that holds the most work for its weight.
-    std::optional<TicketId> lastOfLargest() const;
+    std::optional<QueueEntryId> newestOfLargestFlow() const;
 
     std::size_t size() const;
     std::chrono::microseconds queuedWork() const;
@@ -88,28 +88,28 @@
 private:
     struct Node;
 
-    std::vector<const Node *> chainOf(const FlowPath &path) const;
-    Node *leafFor(const FlowPath &path);
-    Node &childFor(Node &parent, const std::string &name);
+    std::vector<const Node *> findNodes(const FlowPath &path) const;
+    Node *findOrCreateLeaf(const FlowPath &path);
+    Node &findOrCreateChild(Node &parent, const std::string &name);
     double weightOf(const Node &node) const;
     Node &nextLeaf();
-    static std::list<Ticket>::iterator cheapest(Node &leaf, const TicketCosts &costs, const ClassOrder &order);
-    Ticket serve(Node &leaf, std::list<Ticket>::iterator next);
+    static std::list<QueueEntry>::iterator findCheapest(Node &leaf, const QueueEntryCosts &costs, const ReorderLimits &limits);
+    QueueEntry dequeue(Node &leaf, std::list<QueueEntry>::iterator next);
     void activate(Node &node);
-    void takeOut(Node &leaf, std::list<Ticket>::iterator ticket);
+    void remove(Node &leaf, std::list<QueueEntry>::iterator entry);
     void removeIdle(Node &node);
 
-    struct Place
+    struct Position
     {
         Node *leaf = nullptr;
-        std::list<Ticket>::iterator ticket;
+        std::list<QueueEntry>::iterator entry;
     };
 
     std::unique_ptr<Node> m_root;
-    std::unordered_map<TicketId, Place> m_places;
+    std::unordered_map<QueueEntryId, Position> m_positions;
     std::map<std::string, double> m_organisationShares;
     std::map<std::pair<std::string, std::string>, double> m_teamShares;
-    std::size_t m_nodes = 1;
+    std::size_t m_nodeCount = 1;
 };
 
 } // namespace Verbena::Decisions
--- a/src/libs/decisions/gate/modelplan.cpp
+++ b/src/libs/decisions/gate/modelplan.cpp
@@ -38,51 +38,51 @@
 void ModelPlan::setModels(std::vector<DeclaredModel> models, Core::TimePoint now)
 {
     m_models = std::move(models);
-    refresh(now);
+    update(now);
 }
 
 void ModelPlan::setEngines(const std::vector<PlannedEngine> &engines, Core::TimePoint now)
 {
-    std::map<BackendServerId, Member> members;
+    std::map<BackendServerId, EngineState> states;
     for (const PlannedEngine &engine : engines) {
-        const auto known = m_members.find(engine.id);
-        Member member = known == m_members.end() ? Member() : known->second;
-        member.models = engine.models;
+        const auto previous = m_engines.find(engine.id);
+        EngineState state = previous == m_engines.end() ? EngineState() : previous->second;
+        state.models = engine.models;
         if (!m_hasEngines) {
-            member.isPresent = engine.isPresent;
-            member.isCounted = engine.isPresent;
-        } else if (member.isPresent != engine.isPresent) {
-            member.isPresent = engine.isPresent;
-            member.settlesAt = now + (engine.isPresent ? m_options.presenceGrace : m_options.absenceGrace);
+            state.isPresent = engine.isPresent;
+            state.isCounted = engine.isPresent;
+        } else if (state.isPresent != engine.isPresent) {
+            state.isPresent = engine.isPresent;
+            state.graceEndsAt = now + (engine.isPresent ? m_options.presenceGrace : m_options.absenceGrace);
         }
-        members.emplace(engine.id, std::move(member));
+        states.emplace(engine.id, std::move(state));
     }
-    m_members = std::move(members);
+    m_engines = std::move(states);
     m_hasEngines = true;
-    refresh(now);
+    update(now);
 }
 
-void ModelPlan::setHeld(std::vector<ModelVersion> held, Core::TimePoint now)
+void ModelPlan::setLoaded(std::vector<ModelVersion> loaded, Core::TimePoint now)
 {
-    m_held = std::move(held);
-    refresh(now);
+    m_loaded = std::move(loaded);
+    update(now);
 }
 
 void ModelPlan::tick(Core::TimePoint now)
 {
-    refresh(now);
+    update(now);
 }
 
 std::optional<Core::TimePoint> ModelPlan::nextDeadline() const
 {
     std::optional<Core::TimePoint> next;
-    for (const auto &[id, member] : m_members) {
-        if (member.isCounted != member.isPresent && (!next || member.settlesAt < *next)) {
-            next = member.settlesAt;
+    for (const auto &[id, state] : m_engines) {
+        if (state.isCounted != state.isPresent && (!next || state.graceEndsAt < *next)) {
+            next = state.graceEndsAt;
         }
     }
     for (const Surplus &surplus : m_surplus) {
-        const bool isOrdered = contains(m_held, surplus.version)
+        const bool isOrdered = contains(m_loaded, surplus.version)
             && std::find(m_orders.begin(), m_orders.end(), ModelOrder{ModelOrder::Kind::Unload, surplus.version}) != m_orders.end();
         if (!isOrdered && (!next || surplus.unloadAt < *next)) {
             next = surplus.unloadAt;
@@ -91,9 +91,9 @@
     return next;
 }
 
-const std::vector<ModelVersion> &ModelPlan::wanted() const
+const std::vector<ModelVersion> &ModelPlan::desired() const
 {
-    return m_wanted;
+    return m_desired;
 }
 
 const std::vector<ModelOrder> &ModelPlan::orders() const
@@ -101,39 +101,39 @@
     return m_orders;
 }
 
-void ModelPlan::refresh(Core::TimePoint now)
+void ModelPlan::update(Core::TimePoint now)
 {
-    for (auto &[id, member] : m_members) {
-        if (member.isCounted != member.isPresent && member.settlesAt <= now) {
-            member.isCounted = member.isPresent;
+    for (auto &[id, state] : m_engines) {
+        if (state.isCounted != state.isPresent && state.graceEndsAt <= now) {
+            state.isCounted = state.isPresent;
         }
     }
-    refreshWanted();
-    refreshSurplus(now);
-    refreshOrders(now);
+    updateDesired();
+    updateSurplus(now);
+    updateOrders(now);
 }
 
-void ModelPlan::refreshWanted()
+void ModelPlan::updateDesired()
 {
-    m_wanted.clear();
+    m_desired.clear();
     for (const DeclaredModel &model : m_models) {
-        if (isOurs(model)) {
-            m_wanted.push_back(model.version);
+        if (isPlacedHere(model)) {
+            m_desired.push_back(model.version);
         }
     }
 }
 
 // An operator's word takes effect at once; only what follows from hosts that come and go waits.
-void ModelPlan::refreshSurplus(Core::TimePoint now)
+void ModelPlan::updateSurplus(Core::TimePoint now)
 {
     std::vector<Surplus> surplus;
-    for (const ModelVersion &version : m_held) {
-        if (isWanted(version)) {
+    for (const ModelVersion &version : m_loaded) {
+        if (isDesired(version)) {
             continue;
         }
-        const auto known = std::find_if(m_surplus.begin(), m_surplus.end(), [&version](const Surplus &other) { return other.version == version; });
-        Surplus entry = known == m_surplus.end() ? Surplus{version, now + m_options.unloadDelay} : *known;
-        if (!isDeclared(version) && isReplacementHeld(version)) {
+        const auto previous = std::find_if(m_surplus.begin(), m_surplus.end(), [&version](const Surplus &other) { return other.version == version; });
+        Surplus entry = previous == m_surplus.end() ? Surplus{version, now + m_options.unloadDelay} : *previous;
+        if (!isDeclared(version) && isReplacementLoaded(version)) {
             entry.unloadAt = std::min(entry.unloadAt, now);
         }
         surplus.push_back(std::move(entry));
@@ -141,11 +141,11 @@
     m_surplus = std::move(surplus);
 }
 
-void ModelPlan::refreshOrders(Core::TimePoint now)
+void ModelPlan::updateOrders(Core::TimePoint now)
 {
     m_orders.clear();
-    for (const ModelVersion &version : m_wanted) {
-        if (!isHeld(version)) {
+    for (const ModelVersion &version : m_desired) {
+        if (!isLoaded(version)) {
             m_orders.push_back({ModelOrder::Kind::Load, version});
         }
     }
@@ -156,17 +156,17 @@
     }
 }
 
-bool ModelPlan::isOurs(const DeclaredModel &model) const
+bool ModelPlan::isPlacedHere(const DeclaredModel &model) const
 {
     const std::string name = declaredName(model.version);
     std::vector<BackendServerId> pool;
     bool isEligible = false;
-    for (const auto &[id, member] : m_members) {
-        if (std::find(member.models.begin(), member.models.end(), name) == member.models.end()) {
+    for (const auto &[id, state] : m_engines) {
+        if (std::find(state.models.begin(), state.models.end(), name) == state.models.end()) {
             continue;
         }
         isEligible = isEligible || id == m_self;
-        if (member.isCounted) {
+        if (state.isCounted) {
             pool.push_back(id);
         }
     }
@@ -177,14 +177,14 @@
     return std::find(ranks.begin(), ranks.end(), m_self) != ranks.end();
 }
 
-bool ModelPlan::isHeld(const ModelVersion &version) const
+bool ModelPlan::isLoaded(const ModelVersion &version) const
 {
-    return contains(m_held, version);
+    return contains(m_loaded, version);
 }
 
-bool ModelPlan::isWanted(const ModelVersion &version) const
+bool ModelPlan::isDesired(const ModelVersion &version) const
 {
-    return contains(m_wanted, version);
+    return contains(m_desired, version);
 }
 
 bool ModelPlan::isDeclared(const ModelVersion &version) const
@@ -193,10 +193,10 @@
 }
 
 // True as well when the model is not declared any more, or its new version does not belong here.
-bool ModelPlan::isReplacementHeld(const ModelVersion &version) const
+bool ModelPlan::isReplacementLoaded(const ModelVersion &version) const
 {
-    return std::none_of(m_wanted.begin(), m_wanted.end(), [this, &version](const ModelVersion &other) {
-        return other.model == version.model && other.adapter == version.adapter && !isHeld(other);
+    return std::none_of(m_desired.begin(), m_desired.end(), [this, &version](const ModelVersion &other) {
+        return other.model == version.model && other.adapter == version.adapter && !isLoaded(other);
     });
 }
 
--- a/src/libs/decisions/gate/modelplan.h
+++ b/src/libs/decisions/gate/modelplan.h
@@ -62,7 +62,7 @@
     void setEngines(const std::vector<PlannedEngine> &engines, Core::TimePoint now);
 
     /// \brief What the engine says that it holds.
-    void setHeld(std::vector<ModelVersion> held, Core::TimePoint now);
+    void setLoaded(std::vector<ModelVersion> loaded, Core::TimePoint now);
 
     /// \brief Lets time pass.
     void tick(Core::TimePoint now);
@@ -71,18 +71,18 @@
     std::optional<Core::TimePoint> nextDeadline() const;
 
     /// \brief What the engine should hold.
-    const std::vector<ModelVersion> &wanted() const;
+    const std::vector<ModelVersion> &desired() const;
 
     /// \brief What the engine should be ordered, loads first. An order is repeated until setHeld() shows its effect.
     const std::vector<ModelOrder> &orders() const;
 
 private:
-    struct Member
+    struct EngineState
     {
         std::vector<std::string> models;
         bool isPresent = false;
         bool isCounted = false;
-        Core::TimePoint settlesAt; ///< When isCounted follows isPresent.
+        Core::TimePoint graceEndsAt; ///< When isCounted follows isPresent.
     };
 
     struct Surplus
@@ -91,22 +91,22 @@
         Core::TimePoint unloadAt;
     };
 
-    void refresh(Core::TimePoint now);
-    void refreshWanted();
-    void refreshSurplus(Core::TimePoint now);
-    void refreshOrders(Core::TimePoint now);
-    bool isOurs(const DeclaredModel &model) const;
-    bool isHeld(const ModelVersion &version) const;
-    bool isWanted(const ModelVersion &version) const;
+    void update(Core::TimePoint now);
+    void updateDesired();
+    void updateSurplus(Core::TimePoint now);
+    void updateOrders(Core::TimePoint now);
+    bool isPlacedHere(const DeclaredModel &model) const;
+    bool isLoaded(const ModelVersion &version) const;
+    bool isDesired(const ModelVersion &version) const;
     bool isDeclared(const ModelVersion &version) const;
-    bool isReplacementHeld(const ModelVersion &version) const;
+    bool isReplacementLoaded(const ModelVersion &version) const;
 
     BackendServerId m_self;
     ModelPlanOptions m_options;
     std::vector<DeclaredModel> m_models;
-    std::map<BackendServerId, Member> m_members;
-    std::vector<ModelVersion> m_held;
-    std::vector<ModelVersion> m_wanted;
+    std::map<BackendServerId, EngineState> m_engines;
+    std::vector<ModelVersion> m_loaded;
+    std::vector<ModelVersion> m_desired;
     std::vector<Surplus> m_surplus; ///< Held and not wanted.
     std::vector<ModelOrder> m_orders;
     bool m_hasEngines = false;
--- a/src/libs/decisions/gate/overloadcontrol.cpp
+++ b/src/libs/decisions/gate/overloadcontrol.cpp
@@ -6,7 +6,7 @@
 
 namespace {
 
-constexpr std::int64_t mostStepsAtOnce = 4;
+constexpr std::int64_t maximumSteps = 4;
 
 } // namespace
 
@@ -16,7 +16,7 @@
 {
 }
 
-void OverloadControl::noteWait(std::chrono::microseconds wait, Core::TimePoint now)
+void OverloadControl::addWaitSample(std::chrono::microseconds wait, Core::TimePoint now)
 {
     if (now < m_nextPeriod) {
         return;
@@ -24,17 +24,17 @@
     m_nextPeriod = now + m_options.period;
     if (wait > m_options.highWait) {
         m_highSince = m_highSince.value_or(now);
-        m_quiet = 0;
-        if (now - *m_highSince >= m_options.standingTime) {
-            tighten(wait);
+        m_lowWaitPeriods = 0;
+        if (now - *m_highSince >= m_options.standingQueueTime) {
+            lowerLevel(wait);
         }
         return;
     }
     m_highSince.reset();
     if (wait < m_options.lowWait) {
-        loosen();
+        raiseLevel();
     } else {
-        m_quiet = 0;
+        m_lowWaitPeriods = 0;
     }
 }
 
@@ -53,18 +53,18 @@
     return level() == 0 ? std::nullopt : std::optional(m_nextPeriod);
 }
 
-void OverloadControl::tighten(std::chrono::microseconds wait)
+void OverloadControl::lowerLevel(std::chrono::microseconds wait)
 {
-    const auto steps = static_cast<std::uint32_t>(std::clamp<std::int64_t>(wait / m_options.highWait, 1, mostStepsAtOnce));
+    const auto steps = static_cast<std::uint32_t>(std::clamp<std::int64_t>(wait / m_options.highWait, 1, maximumSteps));
     m_level = m_level > steps ? m_level - steps : 1;
 }
 
-void OverloadControl::loosen()
+void OverloadControl::raiseLevel()
 {
-    ++m_quiet;
-    if (m_quiet >= m_options.quietPeriods && m_level <= m_options.highestMark) {
+    ++m_lowWaitPeriods;
+    if (m_lowWaitPeriods >= m_options.lowWaitPeriods && m_level <= m_options.highestMark) {
         ++m_level;
-        m_quiet = 0;
+        m_lowWaitPeriods = 0;
     }
 }
 
--- a/src/libs/decisions/gate/overloadcontrol.h
+++ b/src/libs/decisions/gate/overloadcontrol.h
@@ -11,11 +11,11 @@
 struct OverloadOptions
 {
     std::uint32_t highestMark = 15;
-    std::chrono::milliseconds standingTime{1000}; ///< For so long the wait must be high without a break before more is refused.
+    std::chrono::milliseconds standingQueueTime{1000}; ///< For so long the wait must be high without a break before more is refused.
     std::chrono::milliseconds highWait{1000}; ///< Above, more is refused.
     std::chrono::milliseconds lowWait{300}; ///< Below for several periods, less is refused.
     std::chrono::milliseconds period{100};
-    std::uint32_t quietPeriods = 2;
+    std::uint32_t lowWaitPeriods = 2;
 };
 
 /// \brief The overload level that an agent tells routers, from the wait in its queue.
@@ -29,7 +29,7 @@
     explicit OverloadControl(const OverloadOptions &options = {});
 
     /// \brief Takes the wait that a new request would have at \a now.
-    void noteWait(std::chrono::microseconds wait, Core::TimePoint now);
+    void addWaitSample(std::chrono::microseconds wait, Core::TimePoint now);
 
     /// \brief The lowest mark that is refused; 0 if none is. Mark 0 is never refused by level.
     std::uint32_t level() const;
@@ -40,12 +40,12 @@
     std::optional<Core::TimePoint> nextDeadline() const;
 
 private:
-    void tighten(std::chrono::microseconds wait);
-    void loosen();
+    void lowerLevel(std::chrono::microseconds wait);
+    void raiseLevel();
 
     OverloadOptions m_options;
     std::uint32_t m_level;
-    std::uint32_t m_quiet = 0;
+    std::uint32_t m_lowWaitPeriods = 0;
     Core::TimePoint m_nextPeriod;
     std::optional<Core::TimePoint> m_highSince;
 };
--- a/tests/auto/gate/tst_admissiongate.cpp
+++ b/tests/auto/gate/tst_admissiongate.cpp
@@ -126,7 +126,7 @@
     gate.submit(requestOf("b"), at(0));
     EXPECT_EQ(duplicateIn(gate.submit(requestOf("a"), at(1))), DuplicateState::MayHaveRun);
     EXPECT_EQ(duplicateIn(gate.submit(requestOf("b"), at(1))), DuplicateState::Queued);
-    gate.noteRunEnded({"a", 1}, {}, at(2));
+    gate.handleRunEnded({"a", 1}, {}, at(2));
     EXPECT_EQ(duplicateIn(gate.submit(requestOf("a"), at(3))), DuplicateState::MayHaveRun);
     GateRequest once = requestOf("a", 2);
     once.isIdempotent = false;
@@ -171,9 +171,9 @@
     gate.submit(requestOf("first"), at(0));
     gate.submit(cold, at(0));
     gate.submit(requestOf("warm"), at(0));
-    gate.noteFirstToken({"first", 1}, 0, at(300));
-    EXPECT_TRUE(isStartedIn(gate.noteRunEnded({"first", 1}, {}, at(400)), "warm"));
-    EXPECT_TRUE(isStartedIn(gate.noteRunEnded({"warm", 1}, {}, at(500)), "cold"));
+    gate.handleFirstToken({"first", 1}, 0, at(300));
+    EXPECT_TRUE(isStartedIn(gate.handleRunEnded({"first", 1}, {}, at(400)), "warm"));
+    EXPECT_TRUE(isStartedIn(gate.handleRunEnded({"warm", 1}, {}, at(500)), "cold"));
 }
 
 TEST(AdmissionGateTest, learnsWhatAPromptCostsFromEnginesThatTellOfTheirCacheInTheEnd)
@@ -183,8 +183,8 @@
     for (int i = 0; i < 40; ++i) {
         const RequestRef ref{std::to_string(i), 1};
         gate.submit(requestOf(ref.request), at(100 * i));
-        gate.noteFirstToken(ref, std::nullopt, at(100 * i + 22));
-        gate.noteRunEnded(ref, {RunEnd::Complete, 4096, 0, 5}, at(100 * i + 50));
+        gate.handleFirstToken(ref, std::nullopt, at(100 * i + 22));
+        gate.handleRunEnded(ref, {RunEnd::Complete, 4096, 0, 5}, at(100 * i + 50));
     }
     EXPECT_GT(before, milliseconds(100));
     EXPECT_LT(gate.cost().prefillPerPiece(), milliseconds(15));
@@ -263,10 +263,10 @@
     const RequestRef ref = *chosen;
     owner.running.erase(chosen);
     if (*rc::gen::arbitrary<bool>()) {
-        owner.obey(owner.gate.noteFirstToken(ref, *rc::gen::inRange(0U, 4096U), owner.now));
-        owner.gate.noteTokens(ref, 3, owner.now);
+        owner.obey(owner.gate.handleFirstToken(ref, *rc::gen::inRange(0U, 4096U), owner.now));
+        owner.gate.recordTokens(ref, 3, owner.now);
     }
-    owner.obey(owner.gate.noteRunEnded(ref, {RunEnd::Complete, std::nullopt, std::nullopt, 5}, owner.now));
+    owner.obey(owner.gate.handleRunEnded(ref, {RunEnd::Complete, std::nullopt, std::nullopt, 5}, owner.now));
 }
 
 void step(Owner &owner)
--- a/tests/auto/gate/tst_cacheindex.cpp
+++ b/tests/auto/gate/tst_cacheindex.cpp
@@ -147,7 +147,7 @@
     explicit LossyPair(const CacheIndexOptions &options)
         : index(options)
     {
-        index.noteIncarnation(engine.incarnation);
+        index.setIncarnation(engine.incarnation);
     }
 
     void run(int scope, int branch)
@@ -155,7 +155,7 @@
         const RequestRef ref{"r" + std::to_string(++requests), 1};
         const std::vector<PrefixKey> keys = keysOf(scope, branch);
         unloaded[std::size_t(scope / 2)] = false;
-        index.noteRunStarted(ref, versionOf(scope), keys);
+        index.recordRunStarted(ref, versionOf(scope), keys);
         reports.push_back({ref, engine.run(ref, scope, keys)});
         std::move(engine.events.begin(), engine.events.end(), std::back_inserter(inFlight));
         engine.events.clear();
@@ -167,7 +167,7 @@
             return;
         }
         const auto event = inFlight.begin() + static_cast<std::ptrdiff_t>(which % inFlight.size());
-        index.noteEvent(*event, now);
+        index.handleEvent(*event, now);
         if (!isKept) {
             inFlight.erase(event);
         }
@@ -184,7 +184,7 @@
     {
         if (!reports.empty()) {
             const auto chosen = reports.begin() + static_cast<std::ptrdiff_t>(which % reports.size());
-            index.notePromptProcessed(chosen->ref, chosen->cached, now);
+            index.recordPromptProcessed(chosen->ref, chosen->cached, now);
             reports.erase(chosen);
         }
     }
@@ -194,7 +194,7 @@
         engine.unload(version);
         std::move(engine.events.begin(), engine.events.end(), std::back_inserter(inFlight));
         engine.events.clear();
-        index.dropVersion(version);
+        index.removeVersion(version);
         unloaded[version.weightsVersion == "7" ? 0 : 1] = true;
     }
 
@@ -205,7 +205,7 @@
             for (int branch = 0; branch < 8; ++branch) {
                 for (const PrefixKey key : keysOf(scope, branch)) {
                     const bool isHeld = !unloaded[std::size_t(scope / 2)] && engine.held(index.incarnation(), index.lastSequence(), key);
-                    if (index.knownPieces({key}) == 1 && !isHeld) {
+                    if (index.confirmedPieces({key}) == 1 && !isHeld) {
                         return false;
                     }
                 }
@@ -259,7 +259,7 @@
     EXPECT_TRUE(rc::check("under loss, repeats, reordering, crashes and new weights", [] {
         CacheIndexOptions options;
         options.maximumEntries = *rc::gen::element<std::size_t>(6, 64);
-        options.maximumHeldBack = 4;
+        options.maximumBufferedEvents = 4;
         LossyPair pair(options);
         const int steps = *rc::gen::inRange(1, 200);
         std::uint32_t claims = 0;
@@ -267,7 +267,7 @@
             step(pair);
             RC_ASSERT(pair.isTruthful());
             RC_ASSERT(pair.index.size() <= options.maximumEntries);
-            claims += pair.index.knownPieces(keysOf(0, 0)) + pair.index.knownPieces(keysOf(3, 1));
+            claims += pair.index.confirmedPieces(keysOf(0, 0)) + pair.index.confirmedPieces(keysOf(3, 1));
         }
         RC_TAG(claims > 0 ? "with claims" : "without claims");
     }));
@@ -287,7 +287,7 @@
             for (int scope = 0; scope < 4; ++scope) {
                 for (int branch = 0; branch < 8; ++branch) {
                     for (const PrefixKey key : keysOf(scope, branch)) {
-                        RC_ASSERT((pair.index.knownPieces({key}) == 1) == pair.engine.held(1, pair.index.lastSequence(), key));
+                        RC_ASSERT((pair.index.confirmedPieces({key}) == 1) == pair.engine.held(1, pair.index.lastSequence(), key));
                     }
                 }
             }
@@ -303,11 +303,11 @@
     while (!pair.inFlight.empty()) {
         pair.deliver(0, false);
     }
-    ASSERT_EQ(pair.index.knownPieces(keysOf(0, 0)), 4U);
-    pair.index.noteIncarnation(2);
+    ASSERT_EQ(pair.index.confirmedPieces(keysOf(0, 0)), 4U);
+    pair.index.setIncarnation(2);
     EXPECT_EQ(pair.index.likelyPieces(keysOf(0, 0), pair.now), 0U);
     for (const CacheEvent &event : old) {
-        pair.index.noteEvent(event, pair.now);
+        pair.index.handleEvent(event, pair.now);
     }
     pair.report(0);
     EXPECT_EQ(pair.index.likelyPieces(keysOf(0, 0), pair.now), 0U);
@@ -316,10 +316,10 @@
 TEST(CacheIndexTest, believesNoReportOfAnOlderIncarnation)
 {
     CacheIndex index;
-    index.noteIncarnation(1);
-    index.noteRunStarted({"a", 1}, versionOf(0), keysOf(0, 0));
-    index.noteIncarnation(2);
-    index.notePromptProcessed({"a", 1}, 4, at(0));
+    index.setIncarnation(1);
+    index.recordRunStarted({"a", 1}, versionOf(0), keysOf(0, 0));
+    index.setIncarnation(2);
+    index.recordPromptProcessed({"a", 1}, 4, at(0));
     EXPECT_EQ(index.likelyPieces(keysOf(0, 0), at(0)), 0U);
 }
 
@@ -334,17 +334,17 @@
     pair.run(1, 0);
     pair.lose(0);
     pair.deliver(0, false);
-    EXPECT_EQ(pair.index.knownPieces(keysOf(0, 0)), 0U);
+    EXPECT_EQ(pair.index.confirmedPieces(keysOf(0, 0)), 0U);
     EXPECT_EQ(pair.index.likelyPieces(keysOf(0, 0), pair.now), 4U);
     pair.now = *pair.index.nextDeadline();
     pair.index.tick(pair.now);
-    EXPECT_EQ(pair.index.lostGaps(), 1U);
+    EXPECT_EQ(pair.index.lostEventGaps(), 1U);
     while (!pair.inFlight.empty()) {
         pair.deliver(0, false);
     }
     pair.run(0, 0);
     pair.report(1);
-    EXPECT_EQ(pair.index.knownPieces(keysOf(0, 0)), 0U);
+    EXPECT_EQ(pair.index.confirmedPieces(keysOf(0, 0)), 0U);
     EXPECT_EQ(pair.index.likelyPieces(keysOf(0, 0), pair.now), 4U);
     pair.now += milliseconds(60000);
     EXPECT_EQ(pair.index.likelyPieces(keysOf(0, 0), pair.now), 0U);
@@ -353,7 +353,7 @@
     while (!pair.inFlight.empty()) {
         pair.deliver(0, false);
     }
-    EXPECT_EQ(pair.index.knownPieces(keysOf(0, 0)), 4U);
+    EXPECT_EQ(pair.index.confirmedPieces(keysOf(0, 0)), 4U);
 }
 
 // A block that is filled anew without the removal having been seen must not lose its new prefix with the old one.
@@ -362,18 +362,18 @@
     CacheIndexOptions options;
     options.maximumEntries = 2;
     CacheIndex index(options);
-    index.noteIncarnation(1);
-    index.noteRunStarted({"a", 1}, versionOf(0), {PrefixKey(1), PrefixKey(2), PrefixKey(3)});
+    index.setIncarnation(1);
+    index.recordRunStarted({"a", 1}, versionOf(0), {PrefixKey(1), PrefixKey(2), PrefixKey(3)});
     const auto event = [](std::uint64_t sequence, CacheEvent::Kind kind, std::uint64_t block, std::uint32_t piece) {
         return CacheEvent{.incarnation = 1, .sequence = sequence, .kind = kind, .blocks = {BlockId(block)}, .request = {"a", 1}, .firstPiece = piece};
     };
-    index.noteEvent(event(1, CacheEvent::Kind::Stored, 5, 0), at(0));
-    index.noteEvent(event(2, CacheEvent::Kind::Stored, 5, 1), at(0));
-    index.noteEvent(event(3, CacheEvent::Kind::Stored, 6, 2), at(0));
-    EXPECT_EQ(index.knownPieces({PrefixKey(1)}), 0U);
-    EXPECT_EQ(index.knownPieces({PrefixKey(2)}), 1U);
-    index.noteEvent(event(4, CacheEvent::Kind::Removed, 5, 0), at(0));
-    EXPECT_EQ(index.knownPieces({PrefixKey(2)}), 0U);
+    index.handleEvent(event(1, CacheEvent::Kind::Stored, 5, 0), at(0));
+    index.handleEvent(event(2, CacheEvent::Kind::Stored, 5, 1), at(0));
+    index.handleEvent(event(3, CacheEvent::Kind::Stored, 6, 2), at(0));
+    EXPECT_EQ(index.confirmedPieces({PrefixKey(1)}), 0U);
+    EXPECT_EQ(index.confirmedPieces({PrefixKey(2)}), 1U);
+    index.handleEvent(event(4, CacheEvent::Kind::Removed, 5, 0), at(0));
+    EXPECT_EQ(index.confirmedPieces({PrefixKey(2)}), 0U);
 }
 
 // A prefix that an answer found again may have moved to another block, and then its removal is not recognised.
@@ -384,23 +384,23 @@
     const auto event = [](std::uint64_t sequence, CacheEvent::Kind kind, std::uint64_t block) {
         return CacheEvent{.incarnation = 1, .sequence = sequence, .kind = kind, .blocks = {BlockId(block)}, .request = {"a", 1}};
     };
-    index.noteIncarnation(1);
-    index.noteRunStarted({"a", 1}, versionOf(0), keys);
-    index.noteEvent(event(1, CacheEvent::Kind::Stored, 5), at(0));
-    EXPECT_EQ(index.knownPieces(keys), 1U);
+    index.setIncarnation(1);
+    index.recordRunStarted({"a", 1}, versionOf(0), keys);
+    index.handleEvent(event(1, CacheEvent::Kind::Stored, 5), at(0));
+    EXPECT_EQ(index.confirmedPieces(keys), 1U);
     // Lost: 2, block 5 removed, and 3, the prefix stored in block 6.
-    index.noteEvent(event(4, CacheEvent::Kind::Removed, 7), at(0));
+    index.handleEvent(event(4, CacheEvent::Kind::Removed, 7), at(0));
     index.tick(at(1000));
-    index.noteRunStarted({"b", 1}, versionOf(0), keys);
-    index.notePromptProcessed({"b", 1}, 1, at(1000));
-    index.noteEvent(event(5, CacheEvent::Kind::Removed, 6), at(1001));
-    EXPECT_EQ(index.knownPieces(keys), 0U);
+    index.recordRunStarted({"b", 1}, versionOf(0), keys);
+    index.recordPromptProcessed({"b", 1}, 1, at(1000));
+    index.handleEvent(event(5, CacheEvent::Kind::Removed, 6), at(1001));
+    EXPECT_EQ(index.confirmedPieces(keys), 0U);
 }
 
 TEST(CacheIndexTest, learnsHowLongPrefixesStayWithoutEvents)
 {
     CacheIndexOptions options;
-    options.firstAssumedLife = milliseconds(10000);
+    options.initialAssumedLifetime = milliseconds(10000);
     CacheIndex index(options);
     Core::TimePoint now = at(0);
     // The engine keeps a prefix for two seconds; each prompt comes again after three.
@@ -408,13 +408,13 @@
     for (int i = 0; i < 20; ++i) {
         const RequestRef ref{"r" + std::to_string(i), 1};
         claims.push_back(index.likelyPieces(keysOf(0, 0), now));
-        index.noteRunStarted(ref, versionOf(0), keysOf(0, 0));
-        index.notePromptProcessed(ref, 0, now);
+        index.recordRunStarted(ref, versionOf(0), keysOf(0, 0));
+        index.recordPromptProcessed(ref, 0, now);
         now += milliseconds(3000);
     }
     EXPECT_EQ(claims[1], 4U);
     EXPECT_EQ(claims.back(), 0U);
-    EXPECT_EQ(index.knownPieces(keysOf(0, 0)), 0U);
+    EXPECT_EQ(index.confirmedPieces(keysOf(0, 0)), 0U);
 }
 
 } // namespace
--- a/tests/auto/gate/tst_fairqueue.cpp
+++ b/tests/auto/gate/tst_fairqueue.cpp
@@ -52,18 +52,18 @@
     void push(int flow, int work)
     {
         flows.push_back(flow);
-        queue.push(flowOf(flow), {TicketId(flows.size()), milliseconds(work)});
+        queue.push(flowOf(flow), {QueueEntryId(flows.size()), milliseconds(work)});
         ++waiting[std::size_t(flow)];
     }
 
     int pop()
     {
-        const std::optional<Ticket> ticket = queue.pop();
-        if (!ticket) {
+        const std::optional<QueueEntry> entry = queue.pop();
+        if (!entry) {
             return -1;
         }
-        const int flow = flows[std::size_t(ticket->id) - 1];
-        const double work = std::chrono::duration<double, std::milli>(ticket->work).count();
+        const int flow = flows[std::size_t(entry->id) - 1];
+        const double work = std::chrono::duration<double, std::milli>(entry->work).count();
         --waiting[std::size_t(flow)];
         teamWork[std::size_t(flow)] += work;
         organisationWork[std::size_t(flow / 3)] += work;
@@ -158,10 +158,10 @@
 }
 
 // Costs are drawn anew whenever they are asked for.
-class RandomCosts : public TicketCosts
+class RandomCosts : public QueueEntryCosts
 {
 public:
-    microseconds costNow(TicketId) const override
+    microseconds currentCost(QueueEntryId) const override
     {
         return microseconds(*rc::gen::inRange(0, 100));
     }
@@ -172,7 +172,7 @@
     EXPECT_TRUE(rc::check("when the cheapest of a class goes first", [] {
         FairQueue queue;
         const RandomCosts costs;
-        const ClassOrder order{*rc::gen::inRange<std::size_t>(1, 8), *rc::gen::inRange<std::size_t>(0, 5)};
+        const ReorderLimits limits{*rc::gen::inRange<std::size_t>(1, 8), *rc::gen::inRange<std::size_t>(0, 5)};
         std::uint64_t last = 0;
         std::map<std::uint64_t, std::uint64_t> waiting; // Ticket to the pops that it has seen.
         std::map<std::uint64_t, std::uint64_t> before; // Ticket to those that waited when it came.
@@ -180,10 +180,10 @@
             if (*rc::gen::inRange(0, 2) == 0) {
                 before[++last] = waiting.size();
                 waiting[last] = 0;
-                queue.push(flowOf(0), {TicketId(last), milliseconds(1)});
-            } else if (const std::optional<Ticket> ticket = queue.popCheapest(costs, order)) {
-                const auto id = std::uint64_t(ticket->id);
-                RC_ASSERT(waiting.at(id) <= (before.at(id) + 1) * (order.mostPassed + 1));
+                queue.push(flowOf(0), {QueueEntryId(last), milliseconds(1)});
+            } else if (const std::optional<QueueEntry> entry = queue.popCheapest(costs, limits)) {
+                const auto id = std::uint64_t(entry->id);
+                RC_ASSERT(waiting.at(id) <= (before.at(id) + 1) * (limits.maximumOvertakes + 1));
                 waiting.erase(id);
                 for (auto &[other, pops] : waiting) {
                     ++pops;
@@ -226,7 +226,7 @@
                 feeder.pop();
             } else if (!feeder.flows.empty()) {
                 const auto id = *rc::gen::inRange<std::size_t>(1, feeder.flows.size() + 1);
-                if (feeder.queue.erase(TicketId(id))) {
+                if (feeder.queue.erase(QueueEntryId(id))) {
                     --feeder.waiting[std::size_t(feeder.flows[id - 1])];
                 }
             }
@@ -258,10 +258,10 @@
         feeder.push(flow, work);
         const std::size_t mine = feeder.flows.size();
         microseconds waited(0);
-        std::optional<Ticket> ticket = feeder.queue.pop();
-        while (std::size_t(ticket->id) != mine) {
-            waited += ticket->work;
-            ticket = feeder.queue.pop();
+        std::optional<QueueEntry> entry = feeder.queue.pop();
+        while (std::size_t(entry->id) != mine) {
+            waited += entry->work;
+            entry = feeder.queue.pop();
         }
         RC_ASSERT(waited <= expected + milliseconds(flowCount * mostWork));
         RC_ASSERT(expected <= feeder.queue.queuedWork() + waited);
--- a/tests/auto/gate/tst_modelplan.cpp
+++ b/tests/auto/gate/tst_modelplan.cpp
@@ -67,7 +67,7 @@
                     std::erase(held[engine], order.version);
                 }
             }
-            plans[engine].setHeld(held[engine], now);
+            plans[engine].setLoaded(held[engine], now);
         }
         return loads;
     }
@@ -148,12 +148,12 @@
     ModelPlan plan(engineId(0));
     plan.setModels({{bare, 0}}, at(0));
     plan.setEngines({{engineId(0), {"m"}, true}}, at(0));
-    plan.setHeld({bare}, at(0));
+    plan.setLoaded({bare}, at(0));
     EXPECT_TRUE(plan.orders().empty());
     const ModelVersion newer{"m", "", "8"};
     plan.setModels({{newer, 0}}, at(1));
     EXPECT_EQ(plan.orders(), (std::vector<ModelOrder>{{ModelOrder::Kind::Load, newer}}));
-    plan.setHeld({bare, newer}, at(2));
+    plan.setLoaded({bare, newer}, at(2));
     EXPECT_EQ(plan.orders(), (std::vector<ModelOrder>{{ModelOrder::Kind::Unload, bare}}));
 }
 
@@ -162,7 +162,7 @@
     ModelPlan plan(engineId(0));
     plan.setEngines({{engineId(0), {"m"}, true}}, at(0));
     plan.setModels({}, at(0));
-    plan.setHeld({bare}, at(1));
+    plan.setLoaded({bare}, at(1));
     EXPECT_EQ(plan.orders(), (std::vector<ModelOrder>{{ModelOrder::Kind::Unload, bare}}));
 }
 
--- a/tests/benchmarks/gate/gatebenchmark.cpp
+++ b/tests/benchmarks/gate/gatebenchmark.cpp
@@ -53,7 +53,7 @@
     gate.setServed({version}, at(0));
     std::uint64_t last = 0;
     RequestRef running;
-    const auto follow = [&running](const std::vector<GateAction> &actions) {
+    const auto updateRunning = [&running](const std::vector<GateAction> &actions) {
         for (const GateAction &action : actions) {
             if (const auto *start = std::get_if<StartRun>(&action)) {
                 running = start->ref;
@@ -61,14 +61,14 @@
         }
     };
     while (gate.queued() < static_cast<std::size_t>(state.range(0))) {
-        follow(gate.submit(requestNumber(++last), at(0)));
+        updateRunning(gate.submit(requestNumber(++last), at(0)));
     }
     std::int64_t now = 0;
     for (auto step : state) {
         ++now;
-        follow(gate.submit(requestNumber(++last), at(now)));
-        follow(gate.noteFirstToken(running, 0, at(now)));
-        follow(gate.noteRunEnded(running, {RunEnd::Complete, {}, {}, 100}, at(now)));
+        updateRunning(gate.submit(requestNumber(++last), at(now)));
+        updateRunning(gate.handleFirstToken(running, 0, at(now)));
+        updateRunning(gate.handleRunEnded(running, {RunEnd::Complete, {}, {}, 100}, at(now)));
     }
     state.counters["queued"] = static_cast<double>(gate.queued());
 }
@@ -79,16 +79,16 @@
     CacheIndexOptions options;
     options.maximumEntries = blocks;
     auto index = std::make_unique<CacheIndex>(options);
-    index->noteIncarnation(1);
+    index->setIncarnation(1);
     for (std::uint64_t prompt = 0; prompt < blocks / piecesPerPrompt; ++prompt) {
         const RequestRef ref{"request-" + std::to_string(prompt), 1};
         const std::vector<PrefixKey> keys = promptKeys(prompt);
-        index->noteRunStarted(ref, version, keys);
+        index->recordRunStarted(ref, version, keys);
         CacheEvent event{.incarnation = 1, .sequence = prompt + 1, .kind = CacheEvent::Kind::Stored, .blocks = {}, .request = ref};
         for (const PrefixKey key : keys) {
             event.blocks.push_back(BlockId(static_cast<std::uint64_t>(key)));
         }
-        index->noteEvent(event, at(0));
+        index->handleEvent(event, at(0));
     }
     return index;
 }
@@ -100,7 +100,7 @@
     std::uint64_t prompt = 0;
     for (auto step : state) {
         prompt = (prompt + 7919) % (blocks / piecesPerPrompt);
-        benchmark::DoNotOptimize(index->knownPieces(promptKeys(prompt)));
+        benchmark::DoNotOptimize(index->confirmedPieces(promptKeys(prompt)));
     }
 }
 BENCHMARK(lookUpPrompt)->Arg(100000);
@@ -123,13 +123,13 @@
         const auto block = BlockId(static_cast<std::uint64_t>(keys[piece]));
         removed.sequence = ++sequence;
         removed.blocks = {block};
-        index->noteEvent(removed, at(0));
+        index->handleEvent(removed, at(0));
         stored.sequence = ++sequence;
         stored.blocks = {block};
         stored.firstPiece = piece;
-        index->noteEvent(stored, at(0));
+        index->handleEvent(stored, at(0));
     }
-    state.counters["known"] = index->knownPieces(keys);
+    state.counters["known"] = index->confirmedPieces(keys);
 }
 BENCHMARK(applyTwoEvents)->Arg(100000);
 
--- a/tests/benchmarks/slopes/agentslopes.cpp
+++ b/tests/benchmarks/slopes/agentslopes.cpp
@@ -46,11 +46,11 @@
 {
     std::uint64_t sequence = static_cast<std::uint64_t>(first);
     for (int run = first / piecesPerRun; run < (first + count) / piecesPerRun; ++run) {
-        index.noteRunStarted(requestRef(run), analyst, promptKeys(run));
+        index.recordRunStarted(requestRef(run), analyst, promptKeys(run));
         for (int piece = 0; piece < piecesPerRun; ++piece) {
             ++sequence;
             CacheEvent event{1, sequence, CacheEvent::Kind::Stored, {BlockId{sequence}}, requestRef(run), static_cast<std::uint32_t>(piece)};
-            index.noteEvent(event, at(run));
+            index.handleEvent(event, at(run));
         }
     }
 }
@@ -58,7 +58,7 @@
 std::unique_ptr<CacheIndex> filledIndex(int blocks)
 {
     auto index = std::make_unique<CacheIndex>(CacheIndexOptions{.maximumEntries = static_cast<std::size_t>(blocks), .maximumRuns = keptRuns});
-    index->noteIncarnation(1);
+    index->setIncarnation(1);
     storeBlocks(*index, 0, blocks);
     return index;
 }
@@ -98,15 +98,15 @@
 {
     constexpr int organisations = 200;
     keep(gate.submit(gateRequest(number, organisations, now), now));
-    keep(gate.noteFirstToken(requestRef(number), 2048, now));
-    keep(gate.noteRunEnded(requestRef(number), {RunEnd::Complete, 32768, 2048, 450}, now));
+    keep(gate.handleFirstToken(requestRef(number), 2048, now));
+    keep(gate.handleRunEnded(requestRef(number), {RunEnd::Complete, 32768, 2048, 450}, now));
 }
 
 double timeOfRequests(int requests)
 {
     constexpr int millisecondsBetween = 300; // Of the target's 3.3 requests a second; copies are remembered for minutes.
     AdmissionGate gate;
-    gate.noteEngineIncarnation(1);
+    gate.setEngineIncarnation(1);
     gate.setServed({analyst}, at(0));
     int next = 0;
     return processorNanoseconds([&] {
@@ -120,7 +120,7 @@
 {
     return heapBytesOf([requests] {
         auto gate = std::make_unique<AdmissionGate>();
-        gate->noteEngineIncarnation(1);
+        gate->setEngineIncarnation(1);
         gate->setServed({analyst}, at(0));
         for (int i = 0; i < requests; ++i) {
             runRequest(*gate, i, at(i));
@@ -149,22 +149,22 @@
     });
 }
 
-/// Processor time for a ticket that comes and goes while \a flows others wait.
-double timeOfTicket(int flows)
+/// Processor time for a queue entry that comes and goes while \a flows others wait.
+double timeOfQueueEntry(int flows)
 {
-    constexpr int tickets = 10'000;
+    constexpr int entries = 10'000;
     FairQueue queue;
     const std::chrono::microseconds work(1000);
     std::uint64_t next = 0;
     for (int i = 0; i < flows; ++i) {
-        queue.push({"organisation" + std::to_string(i), "team", "urgent"}, {TicketId{++next}, work});
+        queue.push({"organisation" + std::to_string(i), "team", "urgent"}, {QueueEntryId{++next}, work});
     }
     return processorNanoseconds([&] {
-        for (int i = 0; i < tickets; ++i) {
-            queue.push({"organisation" + std::to_string(i % flows), "team", "urgent"}, {TicketId{++next}, work});
+        for (int i = 0; i < entries; ++i) {
+            queue.push({"organisation" + std::to_string(i % flows), "team", "urgent"}, {QueueEntryId{++next}, work});
             keep(queue.pop());
         }
-    }) / tickets;
+    }) / entries;
 }
 
 } // namespace
@@ -177,7 +177,7 @@
         measureSlope({"gate_request_time", "requests", "ns", {}}, {1'000, 2'000, 4'000}, timeOfRequests),
         measureSlope({"gate_memory", "requests remembered", "bytes", {}}, {2'000, 4'000, 8'000, 16'000}, bytesOfGate),
         measureSlope({"fair_queue_share_memory", "organisations", "bytes", {}}, {2'000, 4'000, 9'000, 18'000}, bytesOfShares),
-        measureSlope({"fair_queue_ticket_time", "waiting flows", "ns a ticket", {}}, {10, 100, 1'000}, timeOfTicket),
+        measureSlope({"fair_queue_ticket_time", "waiting flows", "ns a ticket", {}}, {10, 100, 1'000}, timeOfQueueEntry),
     };
 }
 
