--- a/src/libs/decisions/gate/admissiongate.cpp
+++ b/src/libs/decisions/gate/admissiongate.cpp
@@ -8,7 +8,7 @@
 
 using std::chrono::microseconds;
 
-constexpr std::uint32_t maximumOlderAttempts = 8;
+constexpr std::uint32_t maximumOlderAttempts = 8; // Number of earlier attempts that are searched for.
 constexpr microseconds minimumRetryAfter(50000);
 constexpr microseconds maximumRetryAfter(10000000);
 
@@ -47,7 +47,7 @@
     enqueue(std::move(request), now);
     startQueued(now, actions);
     while (m_queue.size() > m_options.maximumQueued) {
-        // Room is made by the flow that holds most for its share, so that nobody is pushed out by another's flood.
+        // Evicts from the flow with the most queued work for its share, so that a flood in one flow does not evict requests of others.
         refuseQueued(*m_attemptsByEntry.at(*m_queue.newestOfLargestFlow()), GateRefusal::QueueFull, now, actions);
     }
     return actions;
@@ -120,7 +120,7 @@
     if (outcome.end == RunEnd::Complete) {
         m_cost.addAnswerLength(outcome.completionTokens, request.maximumTokens);
     }
-    // The flow pays for what was used, not for what had been estimated.
+    // Charges the flow for the work that was used instead of the estimate.
     const std::uint32_t prompt = outcome.promptTokens.value_or(request.promptTokens);
     const std::uint32_t missing = outcome.cachedTokens ? prompt - std::min(prompt, *outcome.cachedTokens) : attempt->missingTokens;
     m_queue.charge(request.flow, m_cost.prefillTime(missing) + m_cost.decodeWorkForTokens(outcome.completionTokens) - attempt->work);
@@ -239,7 +239,7 @@
 
 std::uint32_t AdmissionGate::warmPieces(const std::vector<PrefixKey> &keys, Core::TimePoint now) const
 {
-    // Keys are chained: who waits with one of them brings all before it.
+    // Keys are chained: a prompt with one of them also has all keys before it.
     std::uint32_t expected = 0;
     while (expected < keys.size() && m_expectedKeys.contains(keys[expected])) {
         ++expected;
@@ -301,7 +301,7 @@
     return m_cost.prefillTime(m_cost.missingTokens(request.promptTokens, m_cache.likelyPieces(request.keys, m_currentTime)));
 }
 
-// Checks come in order of their cost.
+// The checks are in ascending order of their cost.
 std::optional<GateAction> AdmissionGate::checkAdmission(const GateRequest &request, Core::TimePoint now)
 {
     const auto refuse = [this, &request, now](GateRefusal reason) {
@@ -329,7 +329,7 @@
     return std::nullopt;
 }
 
-// A router sends a later attempt only after it has given up on the earlier ones.
+// A router sends a later attempt only after it has abandoned the earlier ones.
 void AdmissionGate::cancelOlderAttempts(const RequestRef &ref, std::vector<GateAction> &actions)
 {
     for (std::uint32_t back = 1; back <= maximumOlderAttempts && back < ref.attempt; ++back) {
@@ -370,11 +370,11 @@
 {
     m_currentTime = now;
     while (m_isEngineUp && hasEngineCapacity(now)) {
-        const std::optional<QueueEntry> entryId = m_queue.popCheapest(*this, m_options.reorderLimits);
-        if (!entryId) {
+        const std::optional<QueueEntry> entry = m_queue.popCheapest(*this, m_options.reorderLimits);
+        if (!entry) {
             return;
         }
-        start(*m_attemptsByEntry.at(entryId->id), now, actions);
+        start(*m_attemptsByEntry.at(entry->id), now, actions);
     }
 }
 
@@ -438,7 +438,7 @@
     attempt.expectedDuration = attempt.prefill + m_cost.expectedAnswerDuration(tokensLeft);
 }
 
-// Most engines tell only with the last token how much of the prompt was cached.
+// Most engines report only with the last token how much of the prompt was cached.
 void AdmissionGate::addPrefillSample(Attempt &attempt, std::uint32_t cachedTokens)
 {
     if (attempt.measuredPrefill) {
@@ -448,14 +448,14 @@
     }
 }
 
-// What the prompt took beyond or below its estimate is forgotten with it: the next one begins now.
+// The difference between the prompt's actual and expected time is dropped with it: the next prompt counts as begun now.
 void AdmissionGate::removePrefill(Attempt &attempt, Core::TimePoint now)
 {
     std::erase(m_prefills, &attempt);
     m_prefillSince = now;
 }
 
-// The engine is handed only so many prompts that it has not begun: what waits there is out of the reach of shares and deadlines.
+// Limits the prompts that wait inside the engine, because shares and deadlines cannot be applied to them there.
 bool AdmissionGate::hasEngineCapacity(Core::TimePoint now) const
 {
     return m_running < m_options.maximumRunning && m_prefills.size() < m_options.maximumPrefills && prefillAhead(now) < m_options.maximumPrefillAhead;
@@ -466,7 +466,8 @@
     return request.isServiceCall || std::find(m_served.begin(), m_served.end(), request.version) != m_served.end();
 }
 
-// The oldest prompt has been worked on since the one before was done; a prompt that takes longer than expected holds up the rest.
+// The engine has been processing the oldest prompt since the previous one finished. The time spent is deducted from this prompt's
+// estimate only, because a prompt that takes longer than expected delays all others.
 microseconds AdmissionGate::prefillAhead(Core::TimePoint now) const
 {
     microseconds ahead(0);
@@ -487,7 +488,7 @@
     case GateRefusal::QueueFull:
     case GateRefusal::Deadline:
     case GateRefusal::Overload:
-        // Half the flow's queue will be gone then.
+        // By then half of the flow's queue will have been served.
         return std::clamp(expectedWait(flow, now) / 2, minimumRetryAfter, maximumRetryAfter);
     case GateRefusal::Leaving:
     case GateRefusal::NotServed:
--- a/src/libs/decisions/gate/admissiongate.h
+++ b/src/libs/decisions/gate/admissiongate.h
@@ -6,8 +6,8 @@
 #include "duplicatefilter.h"
 #include "fairqueue.h"
 #include "gatetypes.h"
-#include "prefixloadmeter.h"
 #include "overloadcontrol.h"
+#include "prefixloadmeter.h"
 
 #include <deque>
 #include <memory>
@@ -17,15 +17,15 @@
 
 namespace Verbena::Decisions {
 
-/// \brief Bounds and first assumptions of an AdmissionGate.
+/// \brief Limits and initial estimates of an AdmissionGate.
 struct AdmissionGateOptions
 {
-    std::size_t maximumQueued = 1024;
-    std::uint32_t maximumRunning = 32; ///< Runs that the engine batches at once.
-    std::size_t maximumPrefills = 2; ///< Runs without a first token that the engine is handed at once.
-    std::chrono::milliseconds maximumPrefillAhead{100}; ///< Prompts handed to the engine beyond the one it works on.
-    std::size_t duplicateCapacity = 16384;
-    std::chrono::milliseconds duplicateMargin{60000}; ///< How long after its deadline a copy may still come.
+    std::size_t maximumQueued = 1024; ///< Maximum number of queued requests.
+    std::uint32_t maximumRunning = 32; ///< Maximum number of runs that the engine processes in one batch.
+    std::size_t maximumPrefills = 2; ///< Maximum number of runs at the engine that have no first token yet.
+    std::chrono::milliseconds maximumPrefillAhead{100}; ///< Remaining prefill time at the engine from which on no further run is started.
+    std::size_t duplicateCapacity = 16384; ///< Number of requests that are kept to detect duplicates.
+    std::chrono::milliseconds duplicateMargin{60000}; ///< Time after a request's deadline during which copies may still arrive.
     ReorderLimits reorderLimits;
     CacheIndexOptions cache;
     CostModelOptions cost;
@@ -33,10 +33,10 @@
     PrefixLoadOptions prefixLoad;
 };
 
-/// \brief Decides beside one backend server what runs, what waits and what is refused.
+/// \brief Decides for one backend server which requests run, wait or are refused.
 ///
-/// Each submitted attempt ends in exactly one of StartRun, Refuse and DropQueued. Every command returns what its owner
-/// has to do now, in order. The owner calls tick() at nextDeadline().
+/// Each submitted attempt ends in exactly one of StartRun, Refuse and DropQueued. Every command returns the actions that its
+/// owner has to perform now, in order. The owner calls tick() at nextDeadline().
 class AdmissionGate : private QueueEntryCosts
 {
 public:
@@ -44,63 +44,75 @@
 
     // Requests
 
+    /// \brief Queues, starts or refuses \a request, or reports it as a duplicate.
     std::vector<GateAction> submit(GateRequest request, Core::TimePoint now);
 
-    /// \brief The router wants the attempt no more, whatever its state.
+    /// \brief Cancels the attempt \a ref in any state because the router no longer needs it.
     std::vector<GateAction> cancel(const RequestRef &ref, Core::TimePoint now);
 
     // Runs
 
-    /// \brief The first token came; \a cachedTokens of the prompt came from the cache, if the engine has told so far.
+    /// \brief Handles the first token of a run.
+    ///
+    /// \a cachedTokens is the number of prompt tokens found in the cache, if the engine has reported it by then.
     std::vector<GateAction> handleFirstToken(const RequestRef &ref, std::optional<std::uint32_t> cachedTokens, Core::TimePoint now);
 
-    /// \brief \a count further tokens came.
+    /// \brief Records that \a count further tokens arrived.
     void recordTokens(const RequestRef &ref, std::uint32_t count, Core::TimePoint now);
 
-    /// \brief The run is over; every StartRun must be followed by one.
+    /// \brief Handles the end of a run. Must be called exactly once for every StartRun.
     std::vector<GateAction> handleRunEnded(const RequestRef &ref, const RunOutcome &outcome, Core::TimePoint now);
 
     // The engine
 
-    /// \brief The engine is at \a incarnation; a new one has an empty cache and none of the old runs.
+    /// \brief Sets the engine's incarnation. A new one has an empty cache and none of the earlier runs.
     void setEngineIncarnation(std::uint64_t incarnation);
 
-    /// \brief While the engine is down everything is refused, and so is what waits.
+    /// \brief Sets whether the engine can be reached. While it is down, queued and new requests are refused.
     std::vector<GateAction> setEngineUp(bool isUp, Core::TimePoint now);
 
+    /// \brief Passes a cache event of the engine to the cache index.
     void handleCacheEvent(const CacheEvent &event, Core::TimePoint now);
+
+    /// \brief Stores the load that the engine reported last.
     void updateEngineLoad(const EngineLoad &load, Core::TimePoint now);
 
     // Settings
 
+    /// \brief Replaces the weights of the flows.
     void setShares(const std::vector<FlowShare> &shares);
 
-    /// \brief What the engine holds now, in place of what it held before.
+    /// \brief Replaces the versions that the engine holds. Queued requests for other versions are refused.
     std::vector<GateAction> setServed(std::vector<ModelVersion> versions, Core::TimePoint now);
 
-    /// \brief A leaving backend server refuses what waits and what comes, and finishes what runs.
+    /// \brief Sets whether the backend server is leaving. It then refuses queued and new requests and finishes its runs.
     std::vector<GateAction> setLeaving(bool isLeaving, Core::TimePoint now);
 
     // Time
 
+    /// \brief Handles all timeouts up to \a now.
     std::vector<GateAction> tick(Core::TimePoint now);
+
+    /// \brief Returns the time at which tick() must be called, or nothing if no timeout is pending.
     std::optional<Core::TimePoint> nextDeadline() const;
 
     // Queries
 
-    /// \brief What to tell routers with each reply.
+    /// \brief Returns the load report that is sent to routers with each reply.
     LoadReport load(Core::TimePoint now) const;
 
-    /// \brief How many of \a keys, from the first on, are likely cached by the time that a new request begins.
+    /// \brief Returns how many of \a keys, from the first on, are likely to be cached when a new request starts.
     std::uint32_t warmPieces(const std::vector<PrefixKey> &keys, Core::TimePoint now) const;
 
-    /// \brief The home set that a hot prefix among \a keys should have.
+    /// \brief Returns the number of homes that the deepest hot prefix among \a keys should have, or nothing if none is hot.
     std::optional<HotPrefixHint> hotPrefixHint(const std::vector<PrefixKey> &keys) const;
 
     bool isLeaving() const;
 
-    /// \brief Runs that have been started and not ended.
+    /// \brief Returns the number of runs that have been started and not ended.
     std::size_t running() const;
+
+    /// \brief Returns the number of queued requests.
     std::size_t queued() const;
     const CacheIndex &cache() const;
     const CostModel &cost() const;
@@ -108,7 +120,7 @@
 private:
     enum class State {
         Queued,
-        Prefill, ///< Started, no token yet.
+        Prefill, ///< Started, without a first token.
         Decode,
     };
 
@@ -120,12 +132,12 @@
         Core::TimePoint queuedAt;
         Core::TimePoint startedAt;
         Core::TimePoint lastTokenAt;
-        Core::TimePoint timeoutAt; ///< When waiting or running on is of no more use.
-        std::chrono::microseconds work{0}; ///< Charged to the flow.
-        std::chrono::microseconds prefill{0}; ///< Expected.
-        std::chrono::microseconds queuedWorkAhead{0}; ///< Queued when it came.
-        std::optional<std::chrono::microseconds> measuredPrefill; ///< Measured, with the cached tokens not told yet.
-        std::chrono::microseconds expectedDuration{0}; ///< Expected from the start to the last token.
+        Core::TimePoint timeoutAt; ///< Time at which the attempt is refused if queued, or cancelled if running.
+        std::chrono::microseconds work{0}; ///< Expected engine time, charged to the flow.
+        std::chrono::microseconds prefill{0}; ///< Expected prefill time.
+        std::chrono::microseconds queuedWorkAhead{0}; ///< Work that was queued when the attempt arrived.
+        std::optional<std::chrono::microseconds> measuredPrefill; ///< Measured prefill time, kept until the engine reports the cached tokens.
+        std::chrono::microseconds expectedDuration{0}; ///< Expected time from the start to the last token.
         std::uint32_t missingTokens = 0;
         bool isCancelled = false;
     };
@@ -166,11 +178,11 @@
     std::set<std::pair<Core::TimePoint, QueueEntryId>> m_timeouts;
     std::vector<ModelVersion> m_served;
     std::uint64_t m_lastEntryId = 0;
-    std::unordered_map<PrefixKey, std::size_t> m_expectedKeys; ///< Of prompts that wait or are being processed, with their number.
+    std::unordered_map<PrefixKey, std::size_t> m_expectedKeys; ///< Keys of prompts that are queued or being processed, with the number of these prompts.
     std::size_t m_running = 0;
     std::deque<const Attempt *> m_prefills; ///< Runs without a first token, the oldest first.
-    Core::TimePoint m_currentTime; ///< Of the command that is carried out.
-    Core::TimePoint m_prefillSince; ///< When the engine began the prompt it works on.
+    Core::TimePoint m_currentTime; ///< Time of the command being executed, for currentCost().
+    Core::TimePoint m_prefillSince; ///< Time at which the engine began the prompt that it is processing.
     EngineLoad m_engineLoad;
     bool m_isLeaving = false;
     bool m_isEngineUp = true;
--- a/src/libs/decisions/gate/cacheindex.cpp
+++ b/src/libs/decisions/gate/cacheindex.cpp
@@ -34,7 +34,7 @@
     if (m_runs.contains(ref)) {
         return;
     }
-    m_runs.emplace(ref, Run{keys, m_incarnation, versionNumber(version)});
+    m_runs.emplace(ref, Run{keys, m_incarnation, versionIndex(version)});
     m_runOrder.push_back(ref);
     if (m_runOrder.size() > m_options.maximumRuns) {
         m_runs.erase(m_runOrder.front());
@@ -53,7 +53,7 @@
     }
     for (std::size_t piece = 0; piece < run->keys.size(); ++piece) {
         const bool wasCached = cachedPieces && piece < *cachedPieces;
-        // What was filled anew is told by events, if the engine sends them; what it found is worth believing for a while.
+        // Newly filled pieces are reported by events if the engine sends them. Pieces found in the cache are assumed to stay for a while.
         if (wasCached || !m_hasEvents || m_byKey.contains(run->keys[piece])) {
             assumeCached(*run, piece, now);
         }
@@ -90,7 +90,7 @@
 
 void CacheIndex::removeVersion(const ModelVersion &version)
 {
-    const std::uint16_t number = versionNumber(version);
+    const std::uint16_t number = versionIndex(version);
     for (auto entry = m_entries.begin(); entry != m_entries.end();) {
         const auto next = std::next(entry);
         if (entry->version == number) {
@@ -98,7 +98,7 @@
         }
         entry = next;
     }
-    // Events of these runs may still come, but what they tell of is gone.
+    // Events of these runs may still arrive, but their blocks no longer exist.
     std::erase_if(m_runs, [number](const auto &run) { return run.second.version == number; });
     std::erase_if(m_runOrder, [this](const RequestRef &ref) { return !m_runs.contains(ref); });
 }
@@ -154,7 +154,7 @@
     return entry.hasBlock && entry.generation == m_generation;
 }
 
-// While an event is missing, any block may have been removed by it; so nothing is known until it comes or is given up.
+// While an event is missing, it may have removed any block. Nothing is confirmed until the event arrives or is skipped.
 bool CacheIndex::isConfirmed(const Entry &entry) const
 {
     return isBlockCurrent(entry) && m_bufferedEvents.empty();
@@ -166,7 +166,7 @@
     return isBlockCurrent(entry) || now < entry.assumedUntil || (isRecentlyUncertain && now < m_uncertainUntil);
 }
 
-std::uint16_t CacheIndex::versionNumber(const ModelVersion &version)
+std::uint16_t CacheIndex::versionIndex(const ModelVersion &version)
 {
     const auto found = std::find(m_versions.begin(), m_versions.end(), version);
     const auto number = static_cast<std::uint16_t>(found - m_versions.begin());
@@ -221,10 +221,10 @@
         const auto found = m_byBlock.find(event.blocks[i]);
         const PrefixKey key = run->keys[event.firstPiece + i];
         if (found != m_byBlock.end() && found->second->key != key) {
-            // The engine filled the block anew, so what it held before is gone. One block never stands behind two prefixes.
+            // The engine has refilled the block, so its previous prefix is gone. A block never belongs to two prefixes.
             erase(found->second);
         }
-        Entry &entry = entryFor(key);
+        Entry &entry = findOrCreateEntry(key);
         if (entry.hasBlock && entry.block != event.blocks[i]) {
             m_byBlock.erase(entry.block);
         }
@@ -257,16 +257,17 @@
     m_lastSequence = m_bufferedEvents.begin()->first - 1;
 }
 
-// An answer that found a prefix does not make it known again: events that were lost may have moved it to another block,
-// and then its removal could not be recognised.
+// An answer that found a prefix does not confirm it again: lost events may have moved the prefix to another block, and then
+// its removal could not be recognised.
 void CacheIndex::assumeCached(const Run &run, std::size_t piece, Core::TimePoint now)
 {
-    Entry &entry = entryFor(run.keys[piece]);
+    Entry &entry = findOrCreateEntry(run.keys[piece]);
     entry.version = run.version;
     entry.assumedUntil = now + m_assumedLifetime;
 }
 
-// Assumes a shorter life after each miss and a longer one after each hit on what was nearly given up.
+// Shortens the assumed lifetime after a miss on a prefix that was assumed to be cached, and extends it after a hit on a prefix
+// that no longer was.
 void CacheIndex::updateAssumedLifetime(const Run &run, std::uint32_t cachedPieces, Core::TimePoint now)
 {
     for (std::size_t piece = 0; piece < run.keys.size(); ++piece) {
@@ -286,7 +287,7 @@
     }
 }
 
-CacheIndex::Entry &CacheIndex::entryFor(PrefixKey key)
+CacheIndex::Entry &CacheIndex::findOrCreateEntry(PrefixKey key)
 {
     const auto found = m_byKey.find(key);
     if (found != m_byKey.end()) {
--- a/src/libs/decisions/gate/costmodel.cpp
+++ b/src/libs/decisions/gate/costmodel.cpp
@@ -6,9 +6,9 @@
 
 namespace {
 
-constexpr double smoothingFactor = 0.1;
-constexpr std::uint32_t minimumPrefillTokens = 64; // Below, overhead hides the cost of a token.
-constexpr std::chrono::milliseconds minimumQueuedWork{10};
+constexpr double smoothingFactor = 0.1; // Weight of a new sample in the moving averages.
+constexpr std::uint32_t minimumPrefillTokens = 64; // With fewer tokens, the overhead hides the cost of a token.
+constexpr std::chrono::milliseconds minimumQueuedWork{10}; // Shorter queues are not sampled.
 
 double seconds(std::chrono::microseconds duration)
 {
@@ -30,8 +30,8 @@
 CostModel::CostModel(const CostModelOptions &options)
     : m_options(options)
     , m_prefillSecondsPerToken(seconds(options.initialPrefillPerPiece) / std::max(options.pieceTokens, 1U))
-    , m_secondsPerToken(seconds(options.initialTokenInterval))
-    , m_engineSecondsPerToken(seconds(options.initialTokenInterval))
+    , m_tokenIntervalSeconds(seconds(options.initialTokenInterval))
+    , m_decodeSecondsPerToken(seconds(options.initialTokenInterval))
 {
 }
 
@@ -44,8 +44,8 @@
 
 void CostModel::addTokenInterval(std::chrono::microseconds interval, std::uint32_t running)
 {
-    updateEstimate(m_secondsPerToken, seconds(interval));
-    updateEstimate(m_engineSecondsPerToken, seconds(interval) / std::max(running, 1U));
+    updateEstimate(m_tokenIntervalSeconds, seconds(interval));
+    updateEstimate(m_decodeSecondsPerToken, seconds(interval) / std::max(running, 1U));
 }
 
 void CostModel::addAnswerLength(std::uint32_t tokens, std::uint32_t maximumTokens)
@@ -58,8 +58,8 @@
 void CostModel::addQueueWait(std::chrono::microseconds queuedWork, std::chrono::microseconds duration)
 {
     if (queuedWork >= minimumQueuedWork) {
-        m_totalWait += seconds(duration) - smoothingFactor * m_totalWait;
-        m_totalQueuedWork += seconds(queuedWork) - smoothingFactor * m_totalQueuedWork;
+        m_decayedWait += seconds(duration) - smoothingFactor * m_decayedWait;
+        m_decayedQueuedWork += seconds(queuedWork) - smoothingFactor * m_decayedQueuedWork;
     }
 }
 
@@ -75,17 +75,17 @@
 
 std::chrono::microseconds CostModel::expectedDecodeWork(std::uint32_t maximumTokens) const
 {
-    return microseconds(m_engineSecondsPerToken * m_lengthRatio * maximumTokens);
+    return microseconds(m_decodeSecondsPerToken * m_lengthRatio * maximumTokens);
 }
 
 std::chrono::microseconds CostModel::expectedAnswerDuration(std::uint32_t maximumTokens) const
 {
-    return microseconds(m_secondsPerToken * m_lengthRatio * maximumTokens);
+    return microseconds(m_tokenIntervalSeconds * m_lengthRatio * maximumTokens);
 }
 
 std::chrono::microseconds CostModel::decodeWorkForTokens(std::uint32_t tokens) const
 {
-    return microseconds(m_engineSecondsPerToken * tokens);
+    return microseconds(m_decodeSecondsPerToken * tokens);
 }
 
 std::uint32_t CostModel::missingTokens(std::uint32_t promptTokens, std::uint32_t warmPieces) const
@@ -96,7 +96,7 @@
 
 std::chrono::microseconds CostModel::queueWait(std::chrono::microseconds queuedWork) const
 {
-    return microseconds(seconds(queuedWork) * m_totalWait / m_totalQueuedWork);
+    return microseconds(seconds(queuedWork) * m_decayedWait / m_decayedQueuedWork);
 }
 
 std::uint32_t CostModel::pieceTokens() const
--- a/src/libs/decisions/gate/duplicatefilter.cpp
+++ b/src/libs/decisions/gate/duplicatefilter.cpp
@@ -81,7 +81,7 @@
 {
     while (!m_byExpiry.empty() && m_byExpiry.begin()->first <= now) {
         const auto found = m_entries.find(m_byExpiry.begin()->second);
-        // An attempt that came later may have moved the time on; then a later row stands for the request.
+        // A later attempt may have extended the expiry; the request then has another, later item in m_byExpiry.
         if (found != m_entries.end() && found->second.expiresAt <= now) {
             m_entries.erase(found);
         }
--- a/src/libs/decisions/gate/duplicatefilter.h
+++ b/src/libs/decisions/gate/duplicatefilter.h
@@ -7,31 +7,33 @@
 
 namespace Verbena::Decisions {
 
-/// \brief Remembers which attempts were received, until copies of them can no longer come.
+/// \brief Detects duplicate attempts by keeping each received attempt until no more copies of it can arrive.
 class DuplicateFilter
 {
 public:
-    /// \brief Bounds: entries beyond \a capacity are not taken; each is kept for \a margin after its deadline.
+    /// \brief Creates a filter for at most \a capacity requests, each of which is kept until \a margin after its latest deadline.
     DuplicateFilter(std::size_t capacity, std::chrono::milliseconds margin);
 
-    /// \brief What is to be done with an attempt.
+    /// \brief Result of a check.
     enum class Verdict {
-        New, ///< Not seen before, and nothing forbids it.
-        Queued, ///< This attempt waits here.
-        MayHaveRun, ///< This attempt, or another of a request that may run once, was started.
-        Refused, ///< This attempt was refused here before.
-        Superseded, ///< A later attempt came before, and this one has never been seen.
-        CapacityReached, ///< The filter is full of attempts whose copies may still come.
+        New, ///< The attempt has not been received before and may be queued.
+        Queued, ///< The attempt is in the queue.
+        MayHaveRun, ///< The attempt was started, or any attempt of a non-idempotent request was.
+        Refused, ///< The attempt was refused or cancelled here before it ran.
+        Superseded, ///< A later attempt was received first; this one has not been received before.
+        CapacityReached, ///< The filter is full of requests whose copies may still arrive.
     };
 
+    /// \brief Removes expired entries and returns whether \a request is new or a duplicate.
     Verdict check(const GateRequest &request, Core::TimePoint now);
 
-    /// \brief An attempt for which check() said New now waits.
+    /// \brief Records that an attempt for which check() returned Verdict::New has been queued.
     void recordQueued(const GateRequest &request);
 
+    /// \brief Records that a queued attempt has been started.
     void recordStarted(const RequestRef &ref);
 
-    /// \brief A queued attempt was refused or cancelled before it ran.
+    /// \brief Records that a queued attempt was refused or cancelled before it ran.
     void recordNotRun(const RequestRef &ref);
 
     std::size_t size() const;
@@ -40,7 +42,7 @@
     struct Entry
     {
         std::uint32_t latestAttempt = 0;
-        std::uint64_t startedAttempts = 0; ///< One bit an attempt; the last bit stands for all later ones.
+        std::uint64_t startedAttempts = 0; ///< One bit for each attempt; the last bit stands for all attempts from 63 on.
         std::uint64_t receivedAttempts = 0;
         std::uint64_t queuedAttempts = 0;
         Core::TimePoint expiresAt;
--- a/src/libs/decisions/gate/fairqueue.cpp
+++ b/src/libs/decisions/gate/fairqueue.cpp
@@ -6,9 +6,9 @@
 
 namespace {
 
-constexpr std::size_t idleCleanupThreshold = 4096;
-constexpr double smallestWeight = 1e-6;
-constexpr std::size_t levelCount = 3; // Organisation, team, class.
+constexpr std::size_t idleCleanupThreshold = 4096; // Number of nodes above which idle ones are removed.
+constexpr double minimumWeight = 1e-6;
+constexpr std::size_t levelCount = 3; // Levels: organisation, team, class.
 
 double seconds(std::chrono::microseconds duration)
 {
@@ -34,17 +34,17 @@
 
     Node *parent = nullptr;
     std::string name;
-    std::uint64_t number = 0; ///< Among siblings, in order of making: ties never depend on addresses.
+    std::uint64_t number = 0; ///< Order of creation among siblings; breaks ties so that the order never depends on addresses.
     double weight = 1.0;
-    double startTag = 0.0; ///< In the virtual time of the parent.
-    double virtualTime = 0.0; ///< Of the children.
+    double startTag = 0.0; ///< Start tag in the virtual time of the parent.
+    double virtualTime = 0.0; ///< Virtual time of the children.
     std::uint64_t nextNumber = 0;
-    std::chrono::microseconds work{0}; ///< Of all tickets below.
+    std::chrono::microseconds work{0}; ///< Sum of the work of all entries in this subtree.
     bool isActive = false;
     std::map<std::string, std::unique_ptr<Node>> children;
     std::set<Node *, Earlier> active;
-    std::list<QueueEntry> entries; ///< Of a leaf, the oldest first.
-    std::size_t overtakes = 0; ///< Tickets of a leaf that went before its oldest.
+    std::list<QueueEntry> entries; ///< Entries of a leaf, the oldest first.
+    std::size_t overtakes = 0; ///< Number of entries that have overtaken the oldest entry of a leaf.
 
     bool isEmpty() const
     {
@@ -77,8 +77,8 @@
     m_organisationShares.clear();
     m_teamShares.clear();
     for (const FlowShare &share : shares) {
-        m_organisationShares[share.organisation] = std::max(share.organisationShare, smallestWeight);
-        m_teamShares[{share.organisation, share.team}] = std::max(share.teamShare, smallestWeight);
+        m_organisationShares[share.organisation] = std::max(share.organisationShare, minimumWeight);
+        m_teamShares[{share.organisation, share.team}] = std::max(share.teamShare, minimumWeight);
     }
     for (const auto &[organisation, node] : m_root->children) {
         node->weight = weightOf(*node);
@@ -144,8 +144,9 @@
     }
 }
 
-// Bottom up, the work that is served before: a ticket starts when the virtual time of each level has come to its start tag,
-// and the virtual time moves by work over the weight of all that wait. No more is ever served before than what waits.
+// Computes bottom up how much work is served first. An entry starts when the virtual time of each level has reached its start
+// tag, and the virtual time advances by the served work divided by the weight of all active flows. The work served first never
+// exceeds the work that is queued.
 std::chrono::microseconds FairQueue::expectedWait(const FlowPath &path) const
 {
     const std::vector<const Node *> chain = findNodes(path);
@@ -242,7 +243,7 @@
     return *leaf;
 }
 
-// Only so many may pass the oldest before it goes, so that each ticket waits for a bounded number of others.
+// Limits how many entries may overtake the oldest one, so that each entry waits for a bounded number of others.
 std::list<QueueEntry>::iterator FairQueue::findCheapest(Node &leaf, const QueueEntryCosts &costs, const ReorderLimits &limits)
 {
     auto best = leaf.entries.begin();
@@ -276,7 +277,7 @@
     return entry;
 }
 
-// A flow that was idle starts at the present virtual time: it gets its share from now on, and nothing for the past.
+// A flow that was idle starts at the current virtual time: it gets its share from now on, but no credit for the past.
 void FairQueue::activate(Node &node)
 {
     if (node.isActive) {
--- a/src/libs/decisions/gate/fairqueue.h
+++ b/src/libs/decisions/gate/fairqueue.h
@@ -10,32 +10,34 @@
 
 namespace Verbena::Decisions {
 
-/// \brief Names what waits in a FairQueue; chosen by the owner of the queue.
+/// \brief Identifies an entry of a FairQueue; chosen by the owner of the queue.
 enum class QueueEntryId : std::uint64_t {};
 
-/// \brief Something that waits for its turn.
+/// \brief An entry of a FairQueue.
 struct QueueEntry
 {
     QueueEntryId id{};
-    std::chrono::microseconds work{0}; ///< Estimated engine time that it will use.
+    std::chrono::microseconds work{0}; ///< Estimated engine time of the entry.
 };
 
-/// \brief Tells what tickets would cost if they were started now.
+/// \brief Interface for the current cost of queue entries.
 class QueueEntryCosts
 {
 public:
     virtual ~QueueEntryCosts() = default;
+
+    /// \brief Returns the engine time that the entry \a id would cost if it were started now.
     virtual std::chrono::microseconds currentCost(QueueEntryId id) const = 0;
 };
 
-/// \brief How far the order of one class may leave the order of arrival.
+/// \brief Limits for how far entries of one class may be served out of their order of arrival.
 struct ReorderLimits
 {
-    std::size_t lookAhead = 32; ///< Tickets from the oldest on, the cheapest of which goes first; 1 keeps the order of arrival.
-    std::size_t maximumOvertakes = 16; ///< Tickets that may go before the oldest.
+    std::size_t lookAhead = 32; ///< Number of oldest entries among which the cheapest is served first; 1 keeps the order of arrival.
+    std::size_t maximumOvertakes = 16; ///< Number of entries that may overtake the oldest one.
 };
 
-/// \brief The weight of a team among the teams of its organisation, and of the organisation among the organisations.
+/// \brief The weight of a team within its organisation, and of the organisation among all organisations.
 struct FlowShare
 {
     std::string organisation;
@@ -46,8 +48,8 @@
 
 /// \brief Weighted fair queue over organisation, then team, then class, by estimated work.
 ///
-/// Start-time fair queueing at each of the three levels: what a flow does not use goes to the others at once, and comes
-/// back to it with its next ticket. Each operation takes logarithmic time.
+/// Uses start-time fair queueing at each of the three levels: the unused share of a flow goes to the others at once, and the
+/// flow has it again from its next entry on. Adding and removing entries takes logarithmic time in the number of flows.
 class FairQueue
 {
 public:
@@ -59,30 +61,33 @@
     FairQueue(FairQueue &&) noexcept;
     FairQueue &operator=(FairQueue &&) noexcept;
 
-    /// \brief Takes the shares in place of those before. Flows that are not named have weight 1.
+    /// \brief Replaces all shares by \a shares. Flows that are not listed have weight 1.
     void setShares(const std::vector<FlowShare> &shares);
 
+    /// \brief Adds \a entry at the end of the flow \a path.
     void push(const FlowPath &path, const QueueEntry &entry);
 
-    /// \brief Takes out the next ticket, or nothing if the queue is empty.
+    /// \brief Removes and returns the next entry, or nothing if the queue is empty.
     std::optional<QueueEntry> pop();
 
-    /// \brief The same, but in the class whose turn it is the cheapest ticket goes first, within the bounds of \a order.
+    /// \brief Like pop(), but serves the cheapest entry of the next class first, within \a limits.
     std::optional<QueueEntry> popCheapest(const QueueEntryCosts &costs, const ReorderLimits &limits);
 
-    /// \brief Takes out \a id; false if it does not wait.
+    /// \brief Removes the entry \a id. Returns false if it is not in the queue.
     bool erase(QueueEntryId id);
 
-    /// \brief Charges \a extra work to a flow, negative if less was used than estimated.
+    /// \brief Charges \a extra work to the flow \a path; negative if less was used than estimated.
     void charge(const FlowPath &path, std::chrono::microseconds extra);
 
-    /// \brief How long a ticket of \a path would wait if pushed now, the flows that wait now going on to wait.
+    /// \brief Returns how long an entry of \a path would wait if it were pushed now, with all waiting flows staying backlogged.
     std::chrono::microseconds expectedWait(const FlowPath &path) const;
 
-    /// \brief The ticket that came last in the flow that holds the most work for its weight.
+    /// \brief Returns the newest entry of the flow with the most queued work in proportion to its weight.
     std::optional<QueueEntryId> newestOfLargestFlow() const;
 
     std::size_t size() const;
+
+    /// \brief Returns the sum of the estimated work of all entries.
     std::chrono::microseconds queuedWork() const;
 
 private:
--- a/src/libs/decisions/gate/modelplan.cpp
+++ b/src/libs/decisions/gate/modelplan.cpp
@@ -15,7 +15,7 @@
     return version.adapter.empty() ? version.model : version.model + ":" + version.adapter;
 }
 
-// The weights version is left out: a new version belongs where the old one is.
+// The key leaves out the weights version, so that a new version is placed on the engines that hold the old one.
 PrefixKey placementKey(const ModelVersion &version)
 {
     const std::string name = declaredName(version);
@@ -123,7 +123,8 @@
     }
 }
 
-// An operator's word takes effect at once; only what follows from hosts that come and go waits.
+// Versions that an operator has removed or replaced are unloaded as soon as their replacement is loaded. Only changes caused by
+// hosts that leave or return are delayed.
 void ModelPlan::updateSurplus(Core::TimePoint now)
 {
     std::vector<Surplus> surplus;
@@ -192,7 +193,7 @@
     return std::any_of(m_models.begin(), m_models.end(), [&version](const DeclaredModel &model) { return model.version == version; });
 }
 
-// True as well when the model is not declared any more, or its new version does not belong here.
+// Also true if the model is no longer declared or its new version is not placed on this engine.
 bool ModelPlan::isReplacementLoaded(const ModelVersion &version) const
 {
     return std::none_of(m_desired.begin(), m_desired.end(), [this, &version](const ModelVersion &other) {
--- a/src/libs/decisions/gate/modelplan.h
+++ b/src/libs/decisions/gate/modelplan.h
@@ -11,34 +11,34 @@
 
 namespace Verbena::Decisions {
 
-/// \brief A model as the settings declare it.
+/// \brief A model or adapter as declared in the settings.
 struct DeclaredModel
 {
-    ModelVersion version; ///< Bare model or adapter, with the weights version in force.
-    std::uint32_t replicas = 0; ///< Engines that should hold it; 0 means all that may.
+    ModelVersion version; ///< Base model or adapter, with the weights version in force.
+    std::uint32_t replicas = 0; ///< Number of engines that should hold the model; 0 means all eligible engines.
 };
 
-/// \brief An engine as settings and host list show it.
+/// \brief An engine as described by the settings and the host list.
 struct PlannedEngine
 {
     BackendServerId id{};
-    std::vector<std::string> models; ///< What it may hold: "model" or "model:adapter".
-    bool isPresent = true; ///< On the host list and not leaving.
+    std::vector<std::string> models; ///< Names of the models that the engine may hold: "model" or "model:adapter".
+    bool isPresent = true; ///< Whether the engine is on the host list and not leaving.
 };
 
-/// \brief Spans that keep hosts that come and go from causing loads.
+/// \brief Delays that prevent loads when hosts leave and return within a short time.
 struct ModelPlanOptions
 {
-    std::chrono::milliseconds absenceGrace{30000}; ///< A host that is gone for less is still counted on.
-    std::chrono::milliseconds presenceGrace{10000}; ///< A new host is counted on after this.
-    std::chrono::milliseconds unloadDelay{300000}; ///< What is wanted no more is kept for this long.
+    std::chrono::milliseconds absenceGrace{30000}; ///< Time for which an absent host still counts in the placement.
+    std::chrono::milliseconds presenceGrace{10000}; ///< Time after which a new host counts in the placement.
+    std::chrono::milliseconds unloadDelay{300000}; ///< Time for which a version that is no longer desired stays loaded.
 };
 
-/// \brief Something that the engine should be ordered to do.
+/// \brief An order to the engine.
 struct ModelOrder
 {
     enum class Kind {
-        Load, ///< Needs a permit first.
+        Load, ///< Load the version. Requires a permit first.
         Unload,
     };
 
@@ -48,32 +48,34 @@
     bool operator==(const ModelOrder &) const = default;
 };
 
-/// \brief Decides for one engine which models, adapters and versions it should hold.
+/// \brief Decides which models, adapters and versions one engine should hold.
 ///
-/// Every agent decides for its own engine, from the same settings and host list, by rendezvous hashing.
+/// Every agent decides for its own engine by rendezvous hashing. All agents use the same settings and host list, so their
+/// decisions agree.
 class ModelPlan
 {
 public:
     explicit ModelPlan(BackendServerId self, const ModelPlanOptions &options = {});
 
+    /// \brief Replaces the declared models.
     void setModels(std::vector<DeclaredModel> models, Core::TimePoint now);
 
-    /// \brief Takes the engines in place of those before. Those of the first call are counted on at once.
+    /// \brief Replaces the engines. The engines that are present in the first call count in the placement at once.
     void setEngines(const std::vector<PlannedEngine> &engines, Core::TimePoint now);
 
-    /// \brief What the engine says that it holds.
+    /// \brief Replaces the versions that the engine reports as loaded.
     void setLoaded(std::vector<ModelVersion> loaded, Core::TimePoint now);
 
-    /// \brief Lets time pass.
+    /// \brief Applies the delays that have expired by \a now.
     void tick(Core::TimePoint now);
 
-    /// \brief When tick() has something to do.
+    /// \brief Returns the time at which tick() must be called, or nothing if no delay is pending.
     std::optional<Core::TimePoint> nextDeadline() const;
 
-    /// \brief What the engine should hold.
+    /// \brief Returns the versions that the engine should hold.
     const std::vector<ModelVersion> &desired() const;
 
-    /// \brief What the engine should be ordered, loads first. An order is repeated until setHeld() shows its effect.
+    /// \brief Returns the orders for the engine, loads first. An order is repeated until setLoaded() shows its effect.
     const std::vector<ModelOrder> &orders() const;
 
 private:
@@ -81,10 +83,11 @@
     {
         std::vector<std::string> models;
         bool isPresent = false;
-        bool isCounted = false;
-        Core::TimePoint graceEndsAt; ///< When isCounted follows isPresent.
+        bool isCounted = false; ///< Whether the engine counts in the placement.
+        Core::TimePoint graceEndsAt; ///< Time at which isCounted becomes equal to isPresent.
     };
 
+    // A version that is loaded and not desired.
     struct Surplus
     {
         ModelVersion version;
@@ -107,7 +110,7 @@
     std::map<BackendServerId, EngineState> m_engines;
     std::vector<ModelVersion> m_loaded;
     std::vector<ModelVersion> m_desired;
-    std::vector<Surplus> m_surplus; ///< Held and not wanted.
+    std::vector<Surplus> m_surplus;
     std::vector<ModelOrder> m_orders;
     bool m_hasEngines = false;
 };
--- a/src/libs/decisions/gate/overloadcontrol.cpp
+++ b/src/libs/decisions/gate/overloadcontrol.cpp
@@ -6,7 +6,7 @@
 
 namespace {
 
-constexpr std::int64_t maximumSteps = 4;
+constexpr std::int64_t maximumStepsPerPeriod = 4;
 
 } // namespace
 
@@ -55,7 +55,7 @@
 
 void OverloadControl::lowerLevel(std::chrono::microseconds wait)
 {
-    const auto steps = static_cast<std::uint32_t>(std::clamp<std::int64_t>(wait / m_options.highWait, 1, maximumSteps));
+    const auto steps = static_cast<std::uint32_t>(std::clamp<std::int64_t>(wait / m_options.highWait, 1, maximumStepsPerPeriod));
     m_level = m_level > steps ? m_level - steps : 1;
 }
 
--- a/tests/auto/gate/tst_admissiongate.cpp
+++ b/tests/auto/gate/tst_admissiongate.cpp
@@ -73,7 +73,7 @@
     });
 }
 
-TEST(AdmissionGateTest, refusesAtOnceWhatCannotMeetItsDeadline)
+TEST(AdmissionGateTest, refusesRequestsThatCannotMeetTheirDeadline)
 {
     AdmissionGate gate = gateOf(oneAtATime());
     EXPECT_TRUE(isStartedIn(gate.submit(requestOf("a"), at(0)), "a"));
@@ -90,7 +90,7 @@
     EXPECT_EQ(gate.queued(), 1U);
 }
 
-TEST(AdmissionGateTest, refusesWhatWaitsOnceItsDeadlineIsOutOfReach)
+TEST(AdmissionGateTest, refusesQueuedRequestsWhenDeadlineIsOutOfReach)
 {
     AdmissionGate gate = gateOf(oneAtATime());
     gate.submit(requestOf("a"), at(0));
@@ -119,7 +119,7 @@
     EXPECT_EQ(refusalIn(gate.setEngineUp(false, at(9)), "f"), GateRefusal::EngineDown);
 }
 
-TEST(AdmissionGateTest, neverRefusesACopyOfWhatMayRun)
+TEST(AdmissionGateTest, reportsCopiesOfActiveAttemptsAsDuplicates)
 {
     AdmissionGate gate = gateOf(oneAtATime());
     gate.submit(requestOf("a"), at(0));
@@ -128,12 +128,12 @@
     EXPECT_EQ(duplicateIn(gate.submit(requestOf("b"), at(1))), DuplicateState::Queued);
     gate.handleRunEnded({"a", 1}, {}, at(2));
     EXPECT_EQ(duplicateIn(gate.submit(requestOf("a"), at(3))), DuplicateState::MayHaveRun);
-    GateRequest once = requestOf("a", 2);
-    once.isIdempotent = false;
-    EXPECT_EQ(duplicateIn(gate.submit(once, at(3))), DuplicateState::MayHaveRun);
+    GateRequest nonIdempotent = requestOf("a", 2);
+    nonIdempotent.isIdempotent = false;
+    EXPECT_EQ(duplicateIn(gate.submit(nonIdempotent, at(3))), DuplicateState::MayHaveRun);
 }
 
-TEST(AdmissionGateTest, aCopyOfARefusedAttemptNeverRuns)
+TEST(AdmissionGateTest, neverRunsACopyOfARefusedAttempt)
 {
     AdmissionGate gate = gateOf();
     gate.setLeaving(true, at(0));
@@ -144,7 +144,7 @@
     EXPECT_EQ(refusalIn(gate.submit(requestOf("a", 2), at(4)), "a"), GateRefusal::Superseded);
 }
 
-TEST(AdmissionGateTest, aFloodPushesOutOnlyItself)
+TEST(AdmissionGateTest, evictsOnlyFromTheFloodingFlow)
 {
     AdmissionGateOptions options = oneAtATime();
     options.maximumQueued = 10;
@@ -163,7 +163,7 @@
     EXPECT_EQ(gate.queued(), 10U);
 }
 
-TEST(AdmissionGateTest, startsWhatIsWarmFirst)
+TEST(AdmissionGateTest, startsCachedPromptsFirst)
 {
     AdmissionGate gate = gateOf(oneAtATime());
     GateRequest cold = requestOf("cold");
@@ -176,7 +176,7 @@
     EXPECT_TRUE(isStartedIn(gate.handleRunEnded({"warm", 1}, {}, at(500)), "cold"));
 }
 
-TEST(AdmissionGateTest, learnsWhatAPromptCostsFromEnginesThatTellOfTheirCacheInTheEnd)
+TEST(AdmissionGateTest, estimatesPrefillFromCachedTokensReportedAtTheEnd)
 {
     AdmissionGate gate = gateOf(oneAtATime());
     const microseconds before = gate.cost().prefillPerPiece();
@@ -190,11 +190,11 @@
     EXPECT_LT(gate.cost().prefillPerPiece(), milliseconds(15));
 }
 
-// Drives a gate as its owner does and notes how each attempt ends.
-class Owner
+// Drives a gate as its owner does and records how each attempt ends.
+class GateDriver
 {
 public:
-    explicit Owner(const AdmissionGateOptions &options)
+    explicit GateDriver(const AdmissionGateOptions &options)
         : gate(gateOf(options))
     {
     }
@@ -202,11 +202,11 @@
     void submit(const GateRequest &request)
     {
         const bool isNew = outcomes.try_emplace(request.ref).second;
-        obey(gate.submit(request, now), isNew ? std::nullopt : std::optional(request.ref));
+        perform(gate.submit(request, now), isNew ? std::nullopt : std::optional(request.ref));
     }
 
-    // A copy may be refused again, if its first receipt was.
-    void obey(const std::vector<GateAction> &actions, const std::optional<RequestRef> &copy = std::nullopt)
+    // A copy may be refused again if the attempt was refused when it was first received.
+    void perform(const std::vector<GateAction> &actions, const std::optional<RequestRef> &copy = std::nullopt)
     {
         for (const GateAction &action : actions) {
             if (const auto *start = std::get_if<StartRun>(&action)) {
@@ -221,7 +221,7 @@
             } else if (const auto *drop = std::get_if<DropQueued>(&action)) {
                 ++outcomes[drop->ref].cancelled;
             } else if (const auto *duplicate = std::get_if<ReportDuplicate>(&action)) {
-                onlyOnce.insert(duplicate->ref);
+                duplicates.insert(duplicate->ref);
             }
         }
         for (const auto &[ref, outcome] : outcomes) {
@@ -238,62 +238,62 @@
 
     AdmissionGate gate;
     std::map<RequestRef, Outcome> outcomes;
-    std::set<RequestRef> onlyOnce; ///< Reported as copies, of themselves or of what may run once only.
+    std::set<RequestRef> duplicates; ///< Attempts reported as duplicates, of themselves or of a non-idempotent request.
     std::vector<RequestRef> running;
     Core::TimePoint now = at(0);
 };
 
-GateRequest randomRequest(const Owner &owner)
+GateRequest randomRequest(const GateDriver &driver)
 {
     GateRequest request = requestOf("r" + std::to_string(*rc::gen::inRange(0, 40)), *rc::gen::inRange(1U, 5U));
     request.flow.team = *rc::gen::element<std::string>("a", "b", "c");
     request.isIdempotent = *rc::gen::weightedElement<bool>({{3, true}, {1, false}});
     request.mark = *rc::gen::inRange(0U, 16U);
     request.promptTokens = *rc::gen::inRange(0U, 20000U);
-    request.deadline = owner.now + milliseconds(*rc::gen::inRange(0, 20000));
+    request.deadline = driver.now + milliseconds(*rc::gen::inRange(0, 20000));
     return request;
 }
 
-void endARun(Owner &owner)
+void endRandomRun(GateDriver &driver)
 {
-    if (owner.running.empty()) {
+    if (driver.running.empty()) {
         return;
     }
-    const auto chosen = owner.running.begin() + *rc::gen::inRange<std::ptrdiff_t>(0, static_cast<std::ptrdiff_t>(owner.running.size()));
+    const auto chosen = driver.running.begin() + *rc::gen::inRange<std::ptrdiff_t>(0, static_cast<std::ptrdiff_t>(driver.running.size()));
     const RequestRef ref = *chosen;
-    owner.running.erase(chosen);
+    driver.running.erase(chosen);
     if (*rc::gen::arbitrary<bool>()) {
-        owner.obey(owner.gate.handleFirstToken(ref, *rc::gen::inRange(0U, 4096U), owner.now));
-        owner.gate.recordTokens(ref, 3, owner.now);
+        driver.perform(driver.gate.handleFirstToken(ref, *rc::gen::inRange(0U, 4096U), driver.now));
+        driver.gate.recordTokens(ref, 3, driver.now);
     }
-    owner.obey(owner.gate.handleRunEnded(ref, {RunEnd::Complete, std::nullopt, std::nullopt, 5}, owner.now));
+    driver.perform(driver.gate.handleRunEnded(ref, {RunEnd::Complete, std::nullopt, std::nullopt, 5}, driver.now));
 }
 
-void step(Owner &owner)
+void performRandomStep(GateDriver &driver)
 {
     switch (*rc::gen::weightedElement<int>({{10, 0}, {6, 1}, {2, 2}, {1, 3}, {1, 4}, {1, 5}, {4, 6}})) {
     case 0:
-        owner.submit(randomRequest(owner));
+        driver.submit(randomRequest(driver));
         break;
     case 1:
-        endARun(owner);
+        endRandomRun(driver);
         break;
     case 2:
-        owner.obey(owner.gate.cancel({"r" + std::to_string(*rc::gen::inRange(0, 40)), *rc::gen::inRange(1U, 5U)}, owner.now));
+        driver.perform(driver.gate.cancel({"r" + std::to_string(*rc::gen::inRange(0, 40)), *rc::gen::inRange(1U, 5U)}, driver.now));
         break;
     case 3:
-        owner.obey(owner.gate.setLeaving(*rc::gen::weightedElement<bool>({{1, true}, {3, false}}), owner.now));
+        driver.perform(driver.gate.setLeaving(*rc::gen::weightedElement<bool>({{1, true}, {3, false}}), driver.now));
         break;
     case 4:
-        owner.obey(owner.gate.setEngineUp(*rc::gen::weightedElement<bool>({{1, false}, {3, true}}), owner.now));
+        driver.perform(driver.gate.setEngineUp(*rc::gen::weightedElement<bool>({{1, false}, {3, true}}), driver.now));
         break;
     case 5:
-        owner.obey(
-            owner.gate.setServed(*rc::gen::weightedElement<bool>({{1, false}, {3, true}}) ? std::vector{version} : std::vector<ModelVersion>(), owner.now));
+        driver.perform(
+            driver.gate.setServed(*rc::gen::weightedElement<bool>({{1, false}, {3, true}}) ? std::vector{version} : std::vector<ModelVersion>(), driver.now));
         break;
     default:
-        owner.now += milliseconds(*rc::gen::inRange(0, 3000));
-        owner.obey(owner.gate.tick(owner.now));
+        driver.now += milliseconds(*rc::gen::inRange(0, 3000));
+        driver.perform(driver.gate.tick(driver.now));
     }
 }
 
@@ -303,36 +303,36 @@
         AdmissionGateOptions options;
         options.maximumRunning = 3;
         options.maximumQueued = *rc::gen::inRange<std::size_t>(1, 12);
-        Owner owner(options);
+        GateDriver driver(options);
         const int steps = *rc::gen::inRange(1, 200);
         for (int i = 0; i < steps; ++i) {
-            step(owner);
-            RC_ASSERT(owner.gate.queued() <= options.maximumQueued);
-            RC_ASSERT(owner.gate.running() == owner.running.size());
+            performRandomStep(driver);
+            RC_ASSERT(driver.gate.queued() <= options.maximumQueued);
+            RC_ASSERT(driver.gate.running() == driver.running.size());
         }
-        owner.now += std::chrono::hours(1);
-        owner.obey(owner.gate.tick(owner.now));
-        RC_ASSERT(owner.gate.queued() == 0U);
-        for (const auto &[ref, outcome] : owner.outcomes) {
+        driver.now += std::chrono::hours(1);
+        driver.perform(driver.gate.tick(driver.now));
+        RC_ASSERT(driver.gate.queued() == 0U);
+        for (const auto &[ref, outcome] : driver.outcomes) {
             const int ends = outcome.started + outcome.refused + outcome.cancelled;
-            RC_ASSERT(ends == 1 || (ends == 0 && owner.onlyOnce.contains(ref)));
+            RC_ASSERT(ends == 1 || (ends == 0 && driver.duplicates.contains(ref)));
         }
     }));
 }
 
-TEST(AdmissionGateTest, runsWhatMayRunOnceAtMostOnce)
+TEST(AdmissionGateTest, runsNonIdempotentRequestsAtMostOnce)
 {
-    EXPECT_TRUE(rc::check("whatever attempts come in whatever order", [] {
-        Owner owner(oneAtATime());
+    EXPECT_TRUE(rc::check("for any attempts in any order", [] {
+        GateDriver driver(oneAtATime());
         for (int i = 0; i < 60; ++i) {
-            GateRequest request = randomRequest(owner);
+            GateRequest request = randomRequest(driver);
             request.ref.request = "r";
             request.isIdempotent = false;
-            owner.submit(request);
-            step(owner);
+            driver.submit(request);
+            performRandomStep(driver);
         }
         int started = 0;
-        for (const auto &[ref, outcome] : owner.outcomes) {
+        for (const auto &[ref, outcome] : driver.outcomes) {
             started += ref.request == "r" ? outcome.started : 0;
         }
         RC_ASSERT(started <= 1);
--- a/tests/auto/gate/tst_cacheindex.cpp
+++ b/tests/auto/gate/tst_cacheindex.cpp
@@ -19,7 +19,7 @@
     return Core::TimePoint(std::chrono::milliseconds(count));
 }
 
-// The prompts of two organisations under two versions of weights; all share the same token ids.
+// Prompts of two organisations with two versions of the weights; all use the same token ids.
 std::vector<PrefixKey> keysOf(int scope, int branch)
 {
     const PrefixScope prefixScope{scope % 2 == 0 ? "kessick" : "kalari", {"m", "", scope / 2 == 0 ? "7" : "8"}};
@@ -33,8 +33,8 @@
     return {"m", "", scope / 2 == 0 ? "7" : "8"};
 }
 
-// An engine with a few blocks, evicted in order of their last use; it numbers its blocks by place, and so uses numbers again.
-class NaiveEngine
+// An engine with a few blocks and least-recently-used eviction. It identifies blocks by their position and so reuses block ids.
+class FakeEngine
 {
 public:
     struct Block
@@ -80,10 +80,10 @@
         }
     }
 
-    bool held(std::uint64_t ofIncarnation, std::uint64_t asOf, PrefixKey key) const
+    bool isCached(std::uint64_t incarnationNumber, std::uint64_t sequence, PrefixKey key) const
     {
-        const auto found = m_truth.find({ofIncarnation, asOf});
-        return found != m_truth.end() && found->second.contains(key);
+        const auto found = m_history.find({incarnationNumber, sequence});
+        return found != m_history.end() && found->second.contains(key);
     }
 
     std::vector<CacheEvent> events;
@@ -92,24 +92,24 @@
 private:
     void fill(const RequestRef &ref, int scope, PrefixKey key, std::uint32_t piece)
     {
-        std::uint64_t place = 1;
-        while (place <= engineBlocks && m_blocks.contains(place)) {
-            ++place;
+        std::uint64_t blockNumber = 1;
+        while (blockNumber <= engineBlocks && m_blocks.contains(blockNumber)) {
+            ++blockNumber;
         }
-        if (place > engineBlocks) {
-            place = std::min_element(m_blocks.begin(), m_blocks.end(), [](const auto &left, const auto &right) {
+        if (blockNumber > engineBlocks) {
+            blockNumber = std::min_element(m_blocks.begin(), m_blocks.end(), [](const auto &left, const auto &right) {
                 return left.second.usedAt < right.second.usedAt;
             })->first;
-            remove(place);
+            remove(blockNumber);
         }
-        m_blocks[place] = {key, scope, ++m_clock};
-        emit({.kind = CacheEvent::Kind::Stored, .blocks = {BlockId(place)}, .request = ref, .firstPiece = piece});
+        m_blocks[blockNumber] = {key, scope, ++m_clock};
+        emit({.kind = CacheEvent::Kind::Stored, .blocks = {BlockId(blockNumber)}, .request = ref, .firstPiece = piece});
     }
 
-    void remove(std::uint64_t place)
+    void remove(std::uint64_t blockNumber)
     {
-        m_blocks.erase(place);
-        emit({.kind = CacheEvent::Kind::Removed, .blocks = {BlockId(place)}, .request = {}});
+        m_blocks.erase(blockNumber);
+        emit({.kind = CacheEvent::Kind::Removed, .blocks = {BlockId(blockNumber)}, .request = {}});
     }
 
     void emit(CacheEvent event)
@@ -122,29 +122,29 @@
 
     void record()
     {
-        std::set<PrefixKey> &keys = m_truth[{incarnation, m_sequence}];
-        for (const auto &[place, block] : m_blocks) {
+        std::set<PrefixKey> &keys = m_history[{incarnation, m_sequence}];
+        for (const auto &[blockNumber, block] : m_blocks) {
             keys.insert(block.key);
         }
     }
 
     std::map<std::uint64_t, Block> m_blocks;
-    std::map<std::pair<std::uint64_t, std::uint64_t>, std::set<PrefixKey>> m_truth;
+    std::map<std::pair<std::uint64_t, std::uint64_t>, std::set<PrefixKey>> m_history;
     std::uint64_t m_sequence = 0;
     int m_clock = 0;
 };
 
-struct Report
+struct PromptReport
 {
     RequestRef ref;
     std::uint32_t cached = 0;
 };
 
-// One engine and one index, with events between them that may be lost, repeated and reordered.
-class LossyPair
+// An engine and an index, connected by events that may be lost, repeated and reordered.
+class LossyChannel
 {
 public:
-    explicit LossyPair(const CacheIndexOptions &options)
+    explicit LossyChannel(const CacheIndexOptions &options)
         : index(options)
     {
         index.setIncarnation(engine.incarnation);
@@ -161,14 +161,14 @@
         engine.events.clear();
     }
 
-    void deliver(std::size_t which, bool isKept)
+    void deliver(std::size_t which, bool isRepeated)
     {
         if (inFlight.empty()) {
             return;
         }
         const auto event = inFlight.begin() + static_cast<std::ptrdiff_t>(which % inFlight.size());
         index.handleEvent(*event, now);
-        if (!isKept) {
+        if (!isRepeated) {
             inFlight.erase(event);
         }
     }
@@ -198,14 +198,14 @@
         unloaded[version.weightsVersion == "7" ? 0 : 1] = true;
     }
 
-    // Every claim must have been true at the event that the index says it has come to, and for weights that are loaded.
-    bool isTruthful() const
+    // Every confirmed prefix must have been cached as of the index's last event, and its weights must be loaded.
+    bool areConfirmedPrefixesCached() const
     {
         for (int scope = 0; scope < 4; ++scope) {
             for (int branch = 0; branch < 8; ++branch) {
                 for (const PrefixKey key : keysOf(scope, branch)) {
-                    const bool isHeld = !unloaded[std::size_t(scope / 2)] && engine.held(index.incarnation(), index.lastSequence(), key);
-                    if (index.confirmedPieces({key}) == 1 && !isHeld) {
+                    const bool isCached = !unloaded[std::size_t(scope / 2)] && engine.isCached(index.incarnation(), index.lastSequence(), key);
+                    if (index.confirmedPieces({key}) == 1 && !isCached) {
                         return false;
                     }
                 }
@@ -214,80 +214,80 @@
         return true;
     }
 
-    NaiveEngine engine;
+    FakeEngine engine;
     CacheIndex index;
     std::vector<CacheEvent> inFlight;
-    std::vector<Report> reports;
-    std::vector<bool> unloaded{false, false}; ///< And not used again since, by version.
+    std::vector<PromptReport> reports;
+    std::vector<bool> unloaded{false, false}; ///< By version: whether it was unloaded and not used again since.
     Core::TimePoint now = at(0);
     int requests = 0;
 };
 
-void step(LossyPair &pair)
+void performRandomStep(LossyChannel &channel)
 {
     const auto which = *rc::gen::inRange<std::size_t>(0, 1000);
     switch (*rc::gen::weightedElement<int>({{8, 0}, {16, 1}, {2, 2}, {2, 3}, {4, 4}, {1, 5}, {1, 6}, {3, 7}})) {
     case 0:
-        pair.run(static_cast<int>(which % 4), static_cast<int>(which / 4 % 8));
+        channel.run(static_cast<int>(which % 4), static_cast<int>(which / 4 % 8));
         break;
     case 1:
-        pair.deliver(which % 3, false);
+        channel.deliver(which % 3, false);
         break;
     case 2:
-        pair.deliver(which, true);
+        channel.deliver(which, true);
         break;
     case 3:
-        pair.lose(which);
+        channel.lose(which);
         break;
     case 4:
-        pair.report(which);
+        channel.report(which);
         break;
     case 5:
-        pair.engine.crash();
+        channel.engine.crash();
         break;
     case 6:
-        pair.unload(versionOf(static_cast<int>(which % 4)));
+        channel.unload(versionOf(static_cast<int>(which % 4)));
         break;
     default:
-        pair.now += milliseconds(which % 300);
-        pair.index.tick(pair.now);
+        channel.now += milliseconds(which % 300);
+        channel.index.tick(channel.now);
     }
 }
 
-TEST(CacheIndexTest, neverClaimsWhatItCannotKnow)
+TEST(CacheIndexTest, confirmsOnlyCachedPrefixes)
 {
     EXPECT_TRUE(rc::check("under loss, repeats, reordering, crashes and new weights", [] {
         CacheIndexOptions options;
         options.maximumEntries = *rc::gen::element<std::size_t>(6, 64);
         options.maximumBufferedEvents = 4;
-        LossyPair pair(options);
+        LossyChannel channel(options);
         const int steps = *rc::gen::inRange(1, 200);
-        std::uint32_t claims = 0;
+        std::uint32_t confirmed = 0;
         for (int i = 0; i < steps; ++i) {
-            step(pair);
-            RC_ASSERT(pair.isTruthful());
-            RC_ASSERT(pair.index.size() <= options.maximumEntries);
-            claims += pair.index.confirmedPieces(keysOf(0, 0)) + pair.index.confirmedPieces(keysOf(3, 1));
+            performRandomStep(channel);
+            RC_ASSERT(channel.areConfirmedPrefixesCached());
+            RC_ASSERT(channel.index.size() <= options.maximumEntries);
+            confirmed += channel.index.confirmedPieces(keysOf(0, 0)) + channel.index.confirmedPieces(keysOf(3, 1));
         }
-        RC_TAG(claims > 0 ? "with claims" : "without claims");
+        RC_TAG(confirmed > 0 ? "with confirmed prefixes" : "without confirmed prefixes");
     }));
 }
 
-TEST(CacheIndexTest, equalsAPlainMapThatSeesEveryEvent)
+TEST(CacheIndexTest, matchesAPlainMapWhenNoEventIsLost)
 {
     EXPECT_TRUE(rc::check("with each event in order", [] {
-        LossyPair pair({});
+        LossyChannel channel({});
         const int runs = *rc::gen::inRange(1, 60);
         for (int i = 0; i < runs; ++i) {
-            pair.run(*rc::gen::inRange(0, 4), *rc::gen::inRange(0, 8));
-            while (!pair.inFlight.empty()) {
-                pair.deliver(0, false);
+            channel.run(*rc::gen::inRange(0, 4), *rc::gen::inRange(0, 8));
+            while (!channel.inFlight.empty()) {
+                channel.deliver(0, false);
             }
-            pair.report(0);
+            channel.report(0);
             for (int scope = 0; scope < 4; ++scope) {
                 for (int branch = 0; branch < 8; ++branch) {
                     for (const PrefixKey key : keysOf(scope, branch)) {
-                        RC_ASSERT((pair.index.confirmedPieces({key}) == 1) == pair.engine.held(1, pair.index.lastSequence(), key));
+                        RC_ASSERT((channel.index.confirmedPieces({key}) == 1) == channel.engine.isCached(1, channel.index.lastSequence(), key));
                     }
                 }
             }
@@ -295,25 +295,25 @@
     }));
 }
 
-TEST(CacheIndexTest, forgetsEverythingOfAnOlderIncarnation)
+TEST(CacheIndexTest, clearsEntriesOfAnOlderIncarnation)
 {
-    LossyPair pair({});
-    pair.run(0, 0);
-    const std::vector<CacheEvent> old = pair.inFlight;
-    while (!pair.inFlight.empty()) {
-        pair.deliver(0, false);
+    LossyChannel channel({});
+    channel.run(0, 0);
+    const std::vector<CacheEvent> old = channel.inFlight;
+    while (!channel.inFlight.empty()) {
+        channel.deliver(0, false);
     }
-    ASSERT_EQ(pair.index.confirmedPieces(keysOf(0, 0)), 4U);
-    pair.index.setIncarnation(2);
-    EXPECT_EQ(pair.index.likelyPieces(keysOf(0, 0), pair.now), 0U);
+    ASSERT_EQ(channel.index.confirmedPieces(keysOf(0, 0)), 4U);
+    channel.index.setIncarnation(2);
+    EXPECT_EQ(channel.index.likelyPieces(keysOf(0, 0), channel.now), 0U);
     for (const CacheEvent &event : old) {
-        pair.index.handleEvent(event, pair.now);
+        channel.index.handleEvent(event, channel.now);
     }
-    pair.report(0);
-    EXPECT_EQ(pair.index.likelyPieces(keysOf(0, 0), pair.now), 0U);
+    channel.report(0);
+    EXPECT_EQ(channel.index.likelyPieces(keysOf(0, 0), channel.now), 0U);
 }
 
-TEST(CacheIndexTest, believesNoReportOfAnOlderIncarnation)
+TEST(CacheIndexTest, ignoresReportsOfAnOlderIncarnation)
 {
     CacheIndex index;
     index.setIncarnation(1);
@@ -323,40 +323,41 @@
     EXPECT_EQ(index.likelyPieces(keysOf(0, 0), at(0)), 0U);
 }
 
-TEST(CacheIndexTest, doubtsAfterALostEventUntilFilledAnew)
+TEST(CacheIndexTest, isUncertainAfterALostEventUntilRefilled)
 {
-    LossyPair pair({});
-    pair.run(0, 0);
-    pair.reports.clear();
-    while (!pair.inFlight.empty()) {
-        pair.deliver(0, false);
+    LossyChannel channel({});
+    channel.run(0, 0);
+    channel.reports.clear();
+    while (!channel.inFlight.empty()) {
+        channel.deliver(0, false);
     }
-    pair.run(1, 0);
-    pair.lose(0);
-    pair.deliver(0, false);
-    EXPECT_EQ(pair.index.confirmedPieces(keysOf(0, 0)), 0U);
-    EXPECT_EQ(pair.index.likelyPieces(keysOf(0, 0), pair.now), 4U);
-    pair.now = *pair.index.nextDeadline();
-    pair.index.tick(pair.now);
-    EXPECT_EQ(pair.index.lostEventGaps(), 1U);
-    while (!pair.inFlight.empty()) {
-        pair.deliver(0, false);
+    channel.run(1, 0);
+    channel.lose(0);
+    channel.deliver(0, false);
+    EXPECT_EQ(channel.index.confirmedPieces(keysOf(0, 0)), 0U);
+    EXPECT_EQ(channel.index.likelyPieces(keysOf(0, 0), channel.now), 4U);
+    channel.now = *channel.index.nextDeadline();
+    channel.index.tick(channel.now);
+    EXPECT_EQ(channel.index.lostEventGaps(), 1U);
+    while (!channel.inFlight.empty()) {
+        channel.deliver(0, false);
     }
-    pair.run(0, 0);
-    pair.report(1);
-    EXPECT_EQ(pair.index.confirmedPieces(keysOf(0, 0)), 0U);
-    EXPECT_EQ(pair.index.likelyPieces(keysOf(0, 0), pair.now), 4U);
-    pair.now += milliseconds(60000);
-    EXPECT_EQ(pair.index.likelyPieces(keysOf(0, 0), pair.now), 0U);
-    pair.unload(versionOf(0));
-    pair.run(0, 0);
-    while (!pair.inFlight.empty()) {
-        pair.deliver(0, false);
+    channel.run(0, 0);
+    channel.report(1);
+    EXPECT_EQ(channel.index.confirmedPieces(keysOf(0, 0)), 0U);
+    EXPECT_EQ(channel.index.likelyPieces(keysOf(0, 0), channel.now), 4U);
+    channel.now += milliseconds(60000);
+    EXPECT_EQ(channel.index.likelyPieces(keysOf(0, 0), channel.now), 0U);
+    channel.unload(versionOf(0));
+    channel.run(0, 0);
+    while (!channel.inFlight.empty()) {
+        channel.deliver(0, false);
     }
-    EXPECT_EQ(pair.index.confirmedPieces(keysOf(0, 0)), 4U);
+    EXPECT_EQ(channel.index.confirmedPieces(keysOf(0, 0)), 4U);
 }
 
-// A block that is filled anew without the removal having been seen must not lose its new prefix with the old one.
+// Guards against losing the new prefix of a block together with its old one. This happens when the block is refilled and the
+// index has not seen the removal.
 TEST(CacheIndexTest, bindsABlockToItsLatestPrefixOnly)
 {
     CacheIndexOptions options;
@@ -376,8 +377,9 @@
     EXPECT_EQ(index.confirmedPieces({PrefixKey(2)}), 0U);
 }
 
-// A prefix that an answer found again may have moved to another block, and then its removal is not recognised.
-TEST(CacheIndexTest, doesNotKnowAgainWhatMayHaveMoved)
+// Guards against confirming a prefix because an answer found it again: it may have moved to another block after lost events, and
+// then its removal is not recognised.
+TEST(CacheIndexTest, doesNotConfirmAPrefixThatMayHaveMoved)
 {
     CacheIndex index;
     const std::vector<PrefixKey> keys{PrefixKey(1)};
@@ -388,7 +390,7 @@
     index.recordRunStarted({"a", 1}, versionOf(0), keys);
     index.handleEvent(event(1, CacheEvent::Kind::Stored, 5), at(0));
     EXPECT_EQ(index.confirmedPieces(keys), 1U);
-    // Lost: 2, block 5 removed, and 3, the prefix stored in block 6.
+    // Lost events: 2 removes block 5, and 3 stores the prefix in block 6.
     index.handleEvent(event(4, CacheEvent::Kind::Removed, 7), at(0));
     index.tick(at(1000));
     index.recordRunStarted({"b", 1}, versionOf(0), keys);
@@ -397,23 +399,23 @@
     EXPECT_EQ(index.confirmedPieces(keys), 0U);
 }
 
-TEST(CacheIndexTest, learnsHowLongPrefixesStayWithoutEvents)
+TEST(CacheIndexTest, estimatesLifetimeWithoutEvents)
 {
     CacheIndexOptions options;
     options.initialAssumedLifetime = milliseconds(10000);
     CacheIndex index(options);
     Core::TimePoint now = at(0);
-    // The engine keeps a prefix for two seconds; each prompt comes again after three.
-    std::vector<std::uint32_t> claims;
+    // The engine keeps a prefix for two seconds; the same prompt is sent every three seconds.
+    std::vector<std::uint32_t> likely;
     for (int i = 0; i < 20; ++i) {
         const RequestRef ref{"r" + std::to_string(i), 1};
-        claims.push_back(index.likelyPieces(keysOf(0, 0), now));
+        likely.push_back(index.likelyPieces(keysOf(0, 0), now));
         index.recordRunStarted(ref, versionOf(0), keysOf(0, 0));
         index.recordPromptProcessed(ref, 0, now);
         now += milliseconds(3000);
     }
-    EXPECT_EQ(claims[1], 4U);
-    EXPECT_EQ(claims.back(), 0U);
+    EXPECT_EQ(likely[1], 4U);
+    EXPECT_EQ(likely.back(), 0U);
     EXPECT_EQ(index.confirmedPieces(keysOf(0, 0)), 0U);
 }
 
--- a/tests/auto/gate/tst_fairqueue.cpp
+++ b/tests/auto/gate/tst_fairqueue.cpp
@@ -16,7 +16,7 @@
 using std::chrono::milliseconds;
 
 constexpr int flowCount = 6;
-constexpr int mostWork = 50;
+constexpr int maximumWork = 50;
 
 // Two organisations of three teams each.
 FlowPath flowOf(int flow)
@@ -40,11 +40,11 @@
     }
 };
 
-// Feeds a FairQueue with random tickets and notes how much each flow got.
-class Feeder
+// Drives a FairQueue with random entries and records how much work each flow got.
+class QueueDriver
 {
 public:
-    explicit Feeder(const Weights &weights)
+    explicit QueueDriver(const Weights &weights)
     {
         queue.setShares(weights.shares());
     }
@@ -94,70 +94,71 @@
     return weights;
 }
 
-// The textbook bound: over any time in which two flows both wait, work by weight differs by at most one ticket of each.
+// Bound of start-time fair queueing: over any interval in which two flows are both backlogged, their work divided by their weight
+// differs by at most one entry of each.
 void assertFair(double workLeft, double weightLeft, double workRight, double weightRight)
 {
-    RC_ASSERT(std::abs(workLeft / weightLeft - workRight / weightRight) <= mostWork / weightLeft + mostWork / weightRight + 1e-3);
+    RC_ASSERT(std::abs(workLeft / weightLeft - workRight / weightRight) <= maximumWork / weightLeft + maximumWork / weightRight + 1e-3);
 }
 
 TEST(FairQueueTest, givesEachFlowItsShareAtEachLevel)
 {
-    EXPECT_TRUE(rc::check("as generalised processor sharing does, up to one ticket", [] {
+    EXPECT_TRUE(rc::check("as generalised processor sharing does, up to one entry", [] {
         const Weights weights = randomWeights();
-        Feeder feeder(weights);
-        // Whatever was used or lent before must not count from the moment on at which all wait.
+        QueueDriver driver(weights);
+        // Work done before all flows are backlogged must not affect the shares afterwards.
         const int warmUp = *rc::gen::inRange(0, 60);
         for (int i = 0; i < warmUp; ++i) {
-            feeder.push(*rc::gen::inRange(0, *rc::gen::inRange(1, flowCount + 1)), *rc::gen::inRange(1, mostWork + 1));
+            driver.push(*rc::gen::inRange(0, *rc::gen::inRange(1, flowCount + 1)), *rc::gen::inRange(1, maximumWork + 1));
             for (int popped = *rc::gen::inRange(0, 3); popped > 0; --popped) {
-                feeder.pop();
+                driver.pop();
             }
         }
         for (int flow = 0; flow < flowCount; ++flow) {
-            feeder.push(flow, *rc::gen::inRange(1, mostWork + 1));
+            driver.push(flow, *rc::gen::inRange(1, maximumWork + 1));
         }
-        std::vector<double> teamsBefore = feeder.teamWork;
-        std::vector<double> organisationsBefore = feeder.organisationWork;
+        std::vector<double> teamsBefore = driver.teamWork;
+        std::vector<double> organisationsBefore = driver.organisationWork;
         for (int i = 0; i < 200; ++i) {
-            const int flow = feeder.pop();
-            feeder.push(flow, *rc::gen::inRange(1, mostWork + 1));
-            assertFair(feeder.organisationWork[0] - organisationsBefore[0],
+            const int flow = driver.pop();
+            driver.push(flow, *rc::gen::inRange(1, maximumWork + 1));
+            assertFair(driver.organisationWork[0] - organisationsBefore[0],
                 weights.organisations[0],
-                feeder.organisationWork[1] - organisationsBefore[1],
+                driver.organisationWork[1] - organisationsBefore[1],
                 weights.organisations[1]);
             for (std::size_t left = 0; left < flowCount; ++left) {
                 for (std::size_t right = left + 1; right < left / 3 * 3 + 3; ++right) {
                     assertFair(
-                        feeder.teamWork[left] - teamsBefore[left], weights.teams[left], feeder.teamWork[right] - teamsBefore[right], weights.teams[right]);
+                        driver.teamWork[left] - teamsBefore[left], weights.teams[left], driver.teamWork[right] - teamsBefore[right], weights.teams[right]);
                 }
             }
         }
     }));
 }
 
-TEST(FairQueueTest, lendsWhatIsUnusedAndTakesItBack)
+TEST(FairQueueTest, lendsUnusedSharesAndReturnsThem)
 {
-    Feeder feeder({{1.0, 1.0}, {1, 1, 1, 1, 1, 1}});
+    QueueDriver driver({{1.0, 1.0}, {1, 1, 1, 1, 1, 1}});
     for (int i = 0; i < 100; ++i) {
-        feeder.push(0, 10);
+        driver.push(0, 10);
     }
     for (int i = 0; i < 50; ++i) {
-        feeder.pop();
+        driver.pop();
     }
-    EXPECT_DOUBLE_EQ(feeder.teamWork[0], 500.0);
+    EXPECT_DOUBLE_EQ(driver.teamWork[0], 500.0);
     for (int i = 0; i < 20; ++i) {
-        feeder.push(3, 10);
+        driver.push(3, 10);
     }
     for (int i = 0; i < 40; ++i) {
-        feeder.pop();
+        driver.pop();
     }
-    EXPECT_DOUBLE_EQ(feeder.teamWork[3], 200.0);
+    EXPECT_DOUBLE_EQ(driver.teamWork[3], 200.0);
     for (int i = 0; i < 10; ++i) {
-        EXPECT_EQ(feeder.pop(), 0);
+        EXPECT_EQ(driver.pop(), 0);
     }
 }
 
-// Costs are drawn anew whenever they are asked for.
+// Returns a new random cost on each call.
 class RandomCosts : public QueueEntryCosts
 {
 public:
@@ -167,23 +168,23 @@
     }
 };
 
-TEST(FairQueueTest, passesNobodyMoreOftenThanAllowed)
+TEST(FairQueueTest, limitsHowOftenAnEntryIsOvertaken)
 {
     EXPECT_TRUE(rc::check("when the cheapest of a class goes first", [] {
         FairQueue queue;
         const RandomCosts costs;
         const ReorderLimits limits{*rc::gen::inRange<std::size_t>(1, 8), *rc::gen::inRange<std::size_t>(0, 5)};
         std::uint64_t last = 0;
-        std::map<std::uint64_t, std::uint64_t> waiting; // Ticket to the pops that it has seen.
-        std::map<std::uint64_t, std::uint64_t> before; // Ticket to those that waited when it came.
+        std::map<std::uint64_t, std::uint64_t> waiting; // Entry id to the number of pops while it was queued.
+        std::map<std::uint64_t, std::uint64_t> queuedOnArrival; // Entry id to the number of entries queued on its arrival.
         for (int i = 0; i < 100; ++i) {
             if (*rc::gen::inRange(0, 2) == 0) {
-                before[++last] = waiting.size();
+                queuedOnArrival[++last] = waiting.size();
                 waiting[last] = 0;
                 queue.push(flowOf(0), {QueueEntryId(last), milliseconds(1)});
             } else if (const std::optional<QueueEntry> entry = queue.popCheapest(costs, limits)) {
                 const auto id = std::uint64_t(entry->id);
-                RC_ASSERT(waiting.at(id) <= (before.at(id) + 1) * (limits.maximumOvertakes + 1));
+                RC_ASSERT(waiting.at(id) <= (queuedOnArrival.at(id) + 1) * (limits.maximumOvertakes + 1));
                 waiting.erase(id);
                 for (auto &[other, pops] : waiting) {
                     ++pops;
@@ -193,78 +194,78 @@
     }));
 }
 
-TEST(FairQueueTest, holdsNothingLentAgainstTheBorrower)
+TEST(FairQueueTest, doesNotChargeForUnusedSharesOfOthers)
 {
-    Feeder feeder({{1.0, 1.0}, {1, 1, 1, 1, 1, 1}});
+    QueueDriver driver({{1.0, 1.0}, {1, 1, 1, 1, 1, 1}});
     for (int i = 0; i < 100; ++i) {
-        feeder.push(0, 10);
-        feeder.pop();
+        driver.push(0, 10);
+        driver.pop();
     }
     for (int i = 0; i < 10; ++i) {
-        feeder.push(0, 10);
-        feeder.push(3, 10);
+        driver.push(0, 10);
+        driver.push(3, 10);
     }
     for (int i = 0; i < 10; ++i) {
-        feeder.pop();
+        driver.pop();
     }
-    EXPECT_DOUBLE_EQ(feeder.teamWork[0], 1050.0);
-    EXPECT_DOUBLE_EQ(feeder.teamWork[3], 50.0);
+    EXPECT_DOUBLE_EQ(driver.teamWork[0], 1050.0);
+    EXPECT_DOUBLE_EQ(driver.teamWork[3], 50.0);
 }
 
-TEST(FairQueueTest, losesNothingAndStarvesNobody)
+TEST(FairQueueTest, losesNoEntryAndStarvesNoFlow)
 {
-    EXPECT_TRUE(rc::check("every ticket leaves once, by pop or erase, after at most all the work beside it", [] {
-        Feeder feeder(randomWeights());
+    EXPECT_TRUE(rc::check("every entry leaves once, by pop or erase", [] {
+        QueueDriver driver(randomWeights());
         std::vector<int> left;
         const int steps = *rc::gen::inRange(1, 300);
         std::vector<bool> isGone(std::size_t(steps), false);
         for (int i = 0; i < steps; ++i) {
             const int kind = *rc::gen::inRange(0, 10);
             if (kind < 6) {
-                feeder.push(*rc::gen::inRange(0, flowCount), *rc::gen::inRange(1, mostWork + 1));
+                driver.push(*rc::gen::inRange(0, flowCount), *rc::gen::inRange(1, maximumWork + 1));
             } else if (kind < 9) {
-                feeder.pop();
-            } else if (!feeder.flows.empty()) {
-                const auto id = *rc::gen::inRange<std::size_t>(1, feeder.flows.size() + 1);
-                if (feeder.queue.erase(QueueEntryId(id))) {
-                    --feeder.waiting[std::size_t(feeder.flows[id - 1])];
+                driver.pop();
+            } else if (!driver.flows.empty()) {
+                const auto id = *rc::gen::inRange<std::size_t>(1, driver.flows.size() + 1);
+                if (driver.queue.erase(QueueEntryId(id))) {
+                    --driver.waiting[std::size_t(driver.flows[id - 1])];
                 }
             }
-            RC_ASSERT(feeder.queue.size() == std::size_t(std::accumulate(feeder.waiting.begin(), feeder.waiting.end(), 0)));
+            RC_ASSERT(driver.queue.size() == std::size_t(std::accumulate(driver.waiting.begin(), driver.waiting.end(), 0)));
         }
-        while (feeder.queue.size() > 0) {
-            RC_ASSERT(feeder.pop() >= 0);
+        while (driver.queue.size() > 0) {
+            RC_ASSERT(driver.pop() >= 0);
         }
-        RC_ASSERT(feeder.queue.queuedWork() == microseconds(0));
-        RC_ASSERT(std::all_of(feeder.waiting.begin(), feeder.waiting.end(), [](int count) { return count == 0; }));
+        RC_ASSERT(driver.queue.queuedWork() == microseconds(0));
+        RC_ASSERT(std::all_of(driver.waiting.begin(), driver.waiting.end(), [](int count) { return count == 0; }));
     }));
 }
 
-TEST(FairQueueTest, expectsNoShorterWaitThanComes)
+TEST(FairQueueTest, expectsNoShorterWaitThanActual)
 {
-    EXPECT_TRUE(rc::check("when nothing more arrives, up to one ticket of each flow", [] {
-        Feeder feeder(randomWeights());
+    EXPECT_TRUE(rc::check("when nothing more arrives, up to one entry of each flow", [] {
+        QueueDriver driver(randomWeights());
         const int count = *rc::gen::inRange(0, 60);
         for (int i = 0; i < count; ++i) {
-            feeder.push(*rc::gen::inRange(0, flowCount), *rc::gen::inRange(1, mostWork + 1));
+            driver.push(*rc::gen::inRange(0, flowCount), *rc::gen::inRange(1, maximumWork + 1));
         }
         const int popped = *rc::gen::inRange(0, count + 1);
         for (int i = 0; i < popped / 2; ++i) {
-            feeder.pop();
+            driver.pop();
         }
         const int flow = *rc::gen::inRange(0, flowCount);
-        const int work = *rc::gen::inRange(1, mostWork + 1);
-        const microseconds expected = feeder.queue.expectedWait(flowOf(flow));
-        feeder.push(flow, work);
-        const std::size_t mine = feeder.flows.size();
+        const int work = *rc::gen::inRange(1, maximumWork + 1);
+        const microseconds expected = driver.queue.expectedWait(flowOf(flow));
+        driver.push(flow, work);
+        const std::size_t id = driver.flows.size();
         microseconds waited(0);
-        std::optional<QueueEntry> entry = feeder.queue.pop();
-        while (std::size_t(entry->id) != mine) {
+        std::optional<QueueEntry> entry = driver.queue.pop();
+        while (std::size_t(entry->id) != id) {
             waited += entry->work;
-            entry = feeder.queue.pop();
+            entry = driver.queue.pop();
         }
-        RC_ASSERT(waited <= expected + milliseconds(flowCount * mostWork));
-        RC_ASSERT(expected <= feeder.queue.queuedWork() + waited);
+        RC_ASSERT(waited <= expected + milliseconds(flowCount * maximumWork));
+        RC_ASSERT(expected <= driver.queue.queuedWork() + waited);
     }));
 }
 
--- a/tests/auto/gate/tst_modelplan.cpp
+++ b/tests/auto/gate/tst_modelplan.cpp
@@ -22,15 +22,15 @@
     return backendServerId("e" + std::to_string(engine));
 }
 
-// The plans of all engines, each obeyed at once.
-class Fleet
+// The plans of all engines, whose orders are performed at once.
+class EngineFleet
 {
 public:
-    Fleet()
+    EngineFleet()
     {
         for (int engine = 0; engine < engineCount; ++engine) {
             plans.emplace_back(engineId(engine));
-            held.emplace_back();
+            loaded.emplace_back();
         }
     }
 
@@ -53,7 +53,7 @@
         }
     }
 
-    int obey(Core::TimePoint now)
+    int performOrders(Core::TimePoint now)
     {
         int loads = 0;
         for (std::size_t engine = 0; engine < plans.size(); ++engine) {
@@ -61,109 +61,110 @@
             const std::vector<ModelOrder> orders = plans[engine].orders();
             for (const ModelOrder &order : orders) {
                 if (order.kind == ModelOrder::Kind::Load) {
-                    held[engine].push_back(order.version);
+                    loaded[engine].push_back(order.version);
                     ++loads;
                 } else {
-                    std::erase(held[engine], order.version);
+                    std::erase(loaded[engine], order.version);
                 }
             }
-            plans[engine].setLoaded(held[engine], now);
+            plans[engine].setLoaded(loaded[engine], now);
         }
         return loads;
     }
 
-    long holders(const ModelVersion &version) const
+    long countHolders(const ModelVersion &version) const
     {
-        return std::count_if(held.begin(), held.end(), [&version](const auto &versions) { return std::count(versions.begin(), versions.end(), version) > 0; });
+        return std::count_if(
+            loaded.begin(), loaded.end(), [&version](const auto &versions) { return std::count(versions.begin(), versions.end(), version) > 0; });
     }
 
     std::vector<ModelPlan> plans;
-    std::vector<std::vector<ModelVersion>> held;
+    std::vector<std::vector<ModelVersion>> loaded;
 };
 
-const ModelVersion bare{"m", "", "7"};
-const ModelVersion adapted{"m", "a", "7"};
+const ModelVersion baseModel{"m", "", "7"};
+const ModelVersion adapter{"m", "a", "7"};
 const std::vector<bool> allPresent(engineCount, true);
 
-TEST(ModelPlanTest, placesTheReplicasAskedFor)
+TEST(ModelPlanTest, placesRequestedReplicas)
 {
-    Fleet fleet;
-    fleet.setModels({{bare, 0}, {adapted, 3}}, at(0));
+    EngineFleet fleet;
+    fleet.setModels({{baseModel, 0}, {adapter, 3}}, at(0));
     fleet.setPresent(allPresent, at(0));
-    EXPECT_EQ(fleet.obey(at(0)), engineCount + 3);
-    EXPECT_EQ(fleet.holders(bare), engineCount);
-    EXPECT_EQ(fleet.holders(adapted), 3);
-    EXPECT_EQ(fleet.obey(at(1)), 0);
+    EXPECT_EQ(fleet.performOrders(at(0)), engineCount + 3);
+    EXPECT_EQ(fleet.countHolders(baseModel), engineCount);
+    EXPECT_EQ(fleet.countHolders(adapter), 3);
+    EXPECT_EQ(fleet.performOrders(at(1)), 0);
 }
 
-TEST(ModelPlanTest, loadsNothingForHostsThatComeAndGo)
+TEST(ModelPlanTest, loadsNothingDuringShortAbsences)
 {
-    EXPECT_TRUE(rc::check("as long as each absence is shorter than the grace", [] {
-        Fleet fleet;
-        fleet.setModels({{adapted, 3}}, at(0));
+    EXPECT_TRUE(rc::check("as long as each absence is shorter than the grace period", [] {
+        EngineFleet fleet;
+        fleet.setModels({{adapter, 3}}, at(0));
         fleet.setPresent(allPresent, at(0));
-        fleet.obey(at(0));
+        fleet.performOrders(at(0));
         int second = 0;
         for (int i = 0; i < 20; ++i) {
             std::vector<bool> present = allPresent;
             present[*rc::gen::inRange<std::size_t>(0, engineCount)] = false;
             fleet.setPresent(present, at(second));
             second += *rc::gen::inRange(1, 29);
-            RC_ASSERT(fleet.obey(at(second)) == 0);
+            RC_ASSERT(fleet.performOrders(at(second)) == 0);
             fleet.setPresent(allPresent, at(second));
             second += 11;
-            RC_ASSERT(fleet.obey(at(second)) == 0);
+            RC_ASSERT(fleet.performOrders(at(second)) == 0);
         }
     }));
 }
 
-TEST(ModelPlanTest, replacesAHostThatStaysAwayAndKeepsItsCopyForAWhile)
+TEST(ModelPlanTest, replacesAbsentHostAndUnloadsSurplusLater)
 {
-    Fleet fleet;
-    fleet.setModels({{adapted, 3}}, at(0));
+    EngineFleet fleet;
+    fleet.setModels({{adapter, 3}}, at(0));
     fleet.setPresent(allPresent, at(0));
-    fleet.obey(at(0));
+    fleet.performOrders(at(0));
     std::vector<bool> present = allPresent;
     for (std::size_t engine = 0; engine < engineCount; ++engine) {
-        if (!fleet.held[engine].empty()) {
+        if (!fleet.loaded[engine].empty()) {
             present[engine] = false;
             break;
         }
     }
     fleet.setPresent(present, at(10));
     ASSERT_EQ(fleet.plans[0].nextDeadline(), at(40));
-    EXPECT_EQ(fleet.obey(at(39)), 0);
-    EXPECT_EQ(fleet.obey(at(40)), 1);
+    EXPECT_EQ(fleet.performOrders(at(39)), 0);
+    EXPECT_EQ(fleet.performOrders(at(40)), 1);
     fleet.setPresent(allPresent, at(60));
-    EXPECT_EQ(fleet.obey(at(70)), 0);
-    EXPECT_EQ(fleet.holders(adapted), 4);
-    fleet.obey(at(369));
-    EXPECT_EQ(fleet.holders(adapted), 4);
-    fleet.obey(at(371));
-    EXPECT_EQ(fleet.holders(adapted), 3);
+    EXPECT_EQ(fleet.performOrders(at(70)), 0);
+    EXPECT_EQ(fleet.countHolders(adapter), 4);
+    fleet.performOrders(at(369));
+    EXPECT_EQ(fleet.countHolders(adapter), 4);
+    fleet.performOrders(at(371));
+    EXPECT_EQ(fleet.countHolders(adapter), 3);
 }
 
-TEST(ModelPlanTest, keepsOldWeightsUntilNewOnesAreHeld)
+TEST(ModelPlanTest, keepsOldWeightsUntilNewOnesAreLoaded)
 {
     ModelPlan plan(engineId(0));
-    plan.setModels({{bare, 0}}, at(0));
+    plan.setModels({{baseModel, 0}}, at(0));
     plan.setEngines({{engineId(0), {"m"}, true}}, at(0));
-    plan.setLoaded({bare}, at(0));
+    plan.setLoaded({baseModel}, at(0));
     EXPECT_TRUE(plan.orders().empty());
     const ModelVersion newer{"m", "", "8"};
     plan.setModels({{newer, 0}}, at(1));
     EXPECT_EQ(plan.orders(), (std::vector<ModelOrder>{{ModelOrder::Kind::Load, newer}}));
-    plan.setLoaded({bare, newer}, at(2));
-    EXPECT_EQ(plan.orders(), (std::vector<ModelOrder>{{ModelOrder::Kind::Unload, bare}}));
+    plan.setLoaded({baseModel, newer}, at(2));
+    EXPECT_EQ(plan.orders(), (std::vector<ModelOrder>{{ModelOrder::Kind::Unload, baseModel}}));
 }
 
-TEST(ModelPlanTest, unloadsAtOnceWhatAnOperatorTookAway)
+TEST(ModelPlanTest, unloadsRemovedModelsAtOnce)
 {
     ModelPlan plan(engineId(0));
     plan.setEngines({{engineId(0), {"m"}, true}}, at(0));
     plan.setModels({}, at(0));
-    plan.setLoaded({bare}, at(1));
-    EXPECT_EQ(plan.orders(), (std::vector<ModelOrder>{{ModelOrder::Kind::Unload, bare}}));
+    plan.setLoaded({baseModel}, at(1));
+    EXPECT_EQ(plan.orders(), (std::vector<ModelOrder>{{ModelOrder::Kind::Unload, baseModel}}));
 }
 
 } // namespace
--- a/tests/auto/gate/tst_overloadcontrol.cpp
+++ b/tests/auto/gate/tst_overloadcontrol.cpp
@@ -1,6 +1,6 @@
 #include <decisions/gate/costmodel.h>
-#include <decisions/gate/prefixloadmeter.h>
 #include <decisions/gate/overloadcontrol.h>
+#include <decisions/gate/prefixloadmeter.h>
 
 #include <gtest/gtest.h>
 
@@ -36,16 +36,16 @@
     }
     EXPECT_TRUE(control.isRefused(1));
     EXPECT_FALSE(control.isRefused(0));
-    const int tightAt = now;
+    const int lowestLevelAt = now;
     while (control.level() != 0) {
         control.addWaitSample(milliseconds(0), at(now += 100));
         ASSERT_LT(now, 20000);
     }
-    EXPECT_GE(now - tightAt, 7500);
+    EXPECT_GE(now - lowestLevelAt, 7500);
     EXPECT_EQ(control.nextDeadline(), std::nullopt);
 }
 
-TEST(OverloadControlTest, countsOnlyAWaitThatStands)
+TEST(OverloadControlTest, countsOnlyAStandingQueue)
 {
     OverloadControl control;
     for (int now = 100; now <= 5000; now += 100) {
@@ -60,7 +60,7 @@
     EXPECT_EQ(control.level(), 12U);
 }
 
-TEST(OverloadControlTest, standsStillBetweenTheWaits)
+TEST(OverloadControlTest, keepsLevelBetweenLowAndHighWait)
 {
     OverloadControl control(withoutStandingQueueTime());
     control.addWaitSample(milliseconds(1500), at(100));
@@ -92,7 +92,7 @@
     EXPECT_EQ(meter.hint(keys), std::nullopt);
 }
 
-TEST(PrefixLoadMeterTest, staysBoundedAndKeepsTheHot)
+TEST(PrefixLoadMeterTest, keepsHotPrefixesWhenFull)
 {
     PrefixLoadOptions options;
     options.maximumKeys = 16;
@@ -105,7 +105,7 @@
     EXPECT_GT(meter.load(PrefixKey(7), at(1000)), 0.3);
 }
 
-TEST(CostModelTest, learnsWhatWorkCosts)
+TEST(CostModelTest, estimatesCostsFromSamples)
 {
     CostModel model;
     for (int i = 0; i < 200; ++i) {
--- a/tests/benchmarks/gate/gatebenchmark.cpp
+++ b/tests/benchmarks/gate/gatebenchmark.cpp
@@ -42,7 +42,7 @@
     return request;
 }
 
-// One request comes, another starts and ends, with a thousand waiting in 24 teams.
+// Submits one request while another starts and ends, with up to a thousand requests queued in 24 teams.
 void submitAndStart(benchmark::State &state)
 {
     AdmissionGateOptions options;
@@ -105,13 +105,13 @@
 }
 BENCHMARK(lookUpPrompt)->Arg(100000);
 
-// One block is removed and stored again, each by an event of its own.
+// Removes a block and stores it again, with one event for each.
 void applyTwoEvents(benchmark::State &state)
 {
     const auto blocks = static_cast<std::uint64_t>(state.range(0));
     const std::unique_ptr<CacheIndex> index = filledIndex(blocks);
     std::uint64_t sequence = blocks / piecesPerPrompt;
-    // The last prompts' runs are still remembered, so that what is stored for them is understood.
+    // The index still keeps the keys of the last runs, so that it can interpret stored events for them.
     const std::uint64_t prompt = blocks / piecesPerPrompt - 1;
     const RequestRef ref{"request-" + std::to_string(prompt), 1};
     const std::vector<PrefixKey> keys = promptKeys(prompt);
@@ -147,7 +147,7 @@
 }
 BENCHMARK(memoryOfIndex)->Arg(52000)->Arg(100000)->Iterations(1);
 
-// A gate as full as it gets at the target: its cache, its queue, its memory of attempts.
+// Measures a gate at the target capacity: its cache index, its queue and its duplicate filter.
 void memoryOfGate(benchmark::State &state)
 {
     double bytes = 0;
