--- a/src/libs/decisions/relay/cachestores.cpp
+++ b/src/libs/decisions/relay/cachestores.cpp
@@ -11,12 +11,12 @@
     m_stores = std::move(stores);
 }
 
-bool CacheStores::isAny() const
+bool CacheStores::hasStores() const
 {
     return !m_stores.empty();
 }
 
-// A store in the domain of the prompt's homes, where there is one: transfers between domains take twice as long, at both ends.
+// Prefers a store in the failure domain of the prompt's home: transfers between domains take twice as long, at both ends.
 const CacheStore *CacheStores::storeOf(PrefixKey prompt, const std::string &homeDomain) const
 {
     const auto rank = [&](const CacheStore &store) {
@@ -26,7 +26,7 @@
         return rank(left) < rank(right);
     };
     const auto nearest = std::min_element(m_stores.begin(), m_stores.end(), isNearer);
-    // Another store in place of one that is not known would be filled with prompts for which other routers do not look there.
+    // No other store replaces one whose content is not known: it would be filled with prompts that other routers do not look for there.
     return nearest == m_stores.end() || nearest->index == nullptr ? nullptr : &*nearest;
 }
 
--- a/src/libs/decisions/relay/cachestores.h
+++ b/src/libs/decisions/relay/cachestores.h
@@ -9,27 +9,27 @@
 
 namespace Verbena::Decisions {
 
-/// \brief A store of kept KV cache as one router knows it.
+/// \brief A store of saved KV cache, as one router sees it.
 struct CacheStore
 {
     std::string address; ///< IP number and port.
     std::string failureDomain;
-    const PartIndex *index = nullptr; ///< What it holds; nothing while that cannot be relied on.
+    const PartIndex *index = nullptr; ///< Content of the store; null while the router has no reliable list of it.
 };
 
-/// \brief The stores of kept KV cache of a deployment, among which prompts are spread.
+/// \brief The stores of saved KV cache of a deployment, among which prompts are distributed.
 ///
-/// Every prompt has one store, computed from its shared parts, so that all routers save and look for it at the same one. Together the stores then hold as
-/// many different prompts as they have room for, and a store that is added or gone moves only its own prompts.
+/// Every prompt has one store, computed from its shared parts, so that all routers save to and look in the same one. Together the stores then hold as many
+/// different prompts as they have capacity for, and adding or removing a store moves only the prompts of that store.
 class CacheStores
 {
 public:
-    /// \brief Takes the stores that the configuration declares. What their indexes point to has to live until the next call.
+    /// \brief Replaces the declared stores with \a stores. The indexes that they point to must live until the next call.
     void set(std::vector<CacheStore> stores);
 
-    bool isAny() const;
+    bool hasStores() const;
 
-    /// \brief The store of the prompts whose shared parts end with \a prompt and whose homes are in \a homeDomain; nothing if there is none or what it holds
+    /// \brief Returns the store of the prompts whose shared parts end with \a prompt and whose home is in \a homeDomain; null if there is none or its content
     /// is not known.
     const CacheStore *storeOf(PrefixKey prompt, const std::string &homeDomain) const;
 
--- /dev/null
+++ b/src/libs/decisions/relay/enginereports.h
@@ -0,0 +1,91 @@
+#pragma once
+
+#include "enginestatus.h"
+
+#include <core/time.h>
+#include <decisions/routing/backendserver.h>
+#include <decisions/routing/serverloads.h>
+
+#include <cstdint>
+#include <functional>
+#include <optional>
+#include <unordered_map>
+#include <vector>
+
+namespace Verbena::Decisions {
+
+/// \brief Estimated queue of an engine, as one router sees it.
+struct EngineQueue
+{
+    std::uint32_t waiting = 0; ///< Number of waiting requests: those in the last status report and those estimated to have been sent since.
+    std::chrono::milliseconds reportAge{0};
+};
+
+/// \brief Status reports that one router received from the agents of engines, combined with the requests that it sent to them, for the choice of engines for
+/// new requests.
+class EngineReports
+{
+public:
+    /// \brief Validity of a status report. Agents report several times a second; without a report for this long an agent counts as silent.
+    static constexpr std::chrono::milliseconds lifetime{1500};
+
+    /// \brief Sets the number of routers, including this one, that send requests to the same engines.
+    void setRouterCount(std::uint32_t count);
+
+    /// \brief Replaces the last report on the engine \a id with \a status, which is valid for lifetime.
+    void update(BackendServerId id, const EngineStatus &status, Core::TimePoint now);
+
+    /// \brief Records that this router sent a request to the engine \a id.
+    void recordSent(BackendServerId id);
+
+    /// \brief Records that the engine \a id answered a request.
+    void recordAnswered(BackendServerId id, Core::TimePoint now);
+
+    /// \brief Discards the report on the engine \a id, which has restarted.
+    void handleRestart(BackendServerId id);
+
+    /// \brief Removes the engines for which \a isGone returns true.
+    void removeIf(const std::function<bool(BackendServerId)> &isGone);
+
+    /// \brief Returns the load that \a status describes.
+    static LoadReport loadReport(const EngineStatus &status);
+
+    /// \brief Returns the estimated queue of the engine \a id, or nothing if its agent is silent.
+    std::optional<EngineQueue> queue(BackendServerId id, Core::TimePoint now) const;
+
+    /// \brief Returns whether the engine \a id loads new weights or finishes its requests in order to load them.
+    bool isWaitingToLoad(BackendServerId id, Core::TimePoint now) const;
+
+    /// \brief Returns whether this router has probably lost its connection to the agents.
+    bool isLikelyIsolated(Core::TimePoint now) const;
+
+    /// \brief Adds the engines to \a ids whose agents are silent and that have received enough requests to find out whether they still answer.
+    void addSilent(std::vector<BackendServerId> &ids, Core::TimePoint now) const;
+
+    /// \brief Adds the engines to \a ids that load new weights, or will start to before they have generated \a outputTokens.
+    void addBusyWithWeights(std::vector<BackendServerId> &ids, std::uint32_t outputTokens, Core::TimePoint now) const;
+
+    /// \brief Returns whether a request that reaches any engine now starts before \a until.
+    static bool startsInTimeAnywhere(Core::TimePoint until, Core::TimePoint now);
+
+    /// \brief Returns whether a request that reaches the engine \a id now may start after \a until; \a unanswered is the work that this router has sent there
+    /// and that is not answered yet.
+    bool mayStartLate(BackendServerId id, std::chrono::microseconds unanswered, Core::TimePoint until, Core::TimePoint now) const;
+
+private:
+    // Last report of an agent on its engine, and until when it is valid.
+    struct StatusReport
+    {
+        EngineStatus status;
+        Core::TimePoint deadline;
+        std::uint32_t sentSince = 0; ///< Number of requests that this router has sent since, which the status does not include.
+    };
+
+    std::uint32_t estimateWaiting(const StatusReport &report) const;
+    static bool isBusyWithWeights(const StatusReport &report, std::uint32_t outputTokens, Core::TimePoint now);
+
+    std::unordered_map<BackendServerId, StatusReport> m_reports;
+    std::uint32_t m_routerCount = 1;
+};
+
+} // namespace Verbena::Decisions
--- a/src/libs/decisions/relay/enginestatus.h
+++ b/src/libs/decisions/relay/enginestatus.h
@@ -11,19 +11,19 @@
 
 namespace Verbena::Decisions {
 
-/// \brief How an engine is, as the agent beside it says.
+/// \brief Status of an engine, as reported by the agent beside it.
 struct EngineStatus
 {
-    std::uint64_t incarnation = 0; ///< Tells one start of it from another; 0 if it does not say.
+    std::uint64_t incarnation = 0; ///< Identifies one start of the engine; 0 if it does not report one.
     std::vector<ServedWeights> weights;
-    bool isSilent = false; ///< It does not answer its agent.
-    bool isLoading = false; ///< Takes no new requests for now.
-    std::optional<Core::TimePoint> loadTime; ///< When it will begin to load new weights.
+    bool isSilent = false; ///< Whether the engine does not answer its agent.
+    bool isLoading = false; ///< Whether the engine accepts no new requests for now.
+    std::optional<Core::TimePoint> loadTime; ///< Time at which the engine will start to load new weights.
     std::uint32_t running = 0;
     std::uint32_t waiting = 0;
-    std::uint64_t usedTokens = 0; ///< Of its memory, those that cannot make room.
+    std::uint64_t usedTokens = 0; ///< Number of tokens in its KV cache memory that cannot be evicted.
     std::uint64_t totalTokens = 0;
-    std::optional<std::vector<PartKey>> parts; ///< In its cache; nothing if they are as they were.
+    std::optional<std::vector<PartKey>> parts; ///< Cached prompt parts; nothing if they have not changed.
 };
 
 } // namespace Verbena::Decisions
--- a/src/libs/decisions/relay/fleetchoice.h
+++ b/src/libs/decisions/relay/fleetchoice.h
@@ -15,41 +15,41 @@
 
 namespace Verbena::Decisions {
 
-/// \brief What a request needs of a backend server.
+/// \brief Requirements of a request for the choice of a backend server.
 struct FleetQuery
 {
     std::string service;
-    std::string route; ///< Whose requests are alike, for estimates.
-    const PromptOutline *prompt = nullptr; ///< Of a completion; nothing for a plain call.
-    std::string dedicatedTo; ///< The organisation that shares no KV cache with others, if the request is of such a one.
+    std::string route; ///< Name of the route; requests of one route share an estimate of waiting times.
+    const PromptOutline *prompt = nullptr; ///< Prompt of a completion; null for a plain call.
+    std::string dedicatedTo; ///< Organisation that shares no KV cache with others, if the request belongs to one; else empty.
     std::vector<std::string> excluded; ///< Ids of backend servers that were tried before.
-    std::uint64_t draw = 0; ///< Evenly spread over all numbers.
-    std::chrono::microseconds latencyTarget{0}; ///< That its route wants; zero for none.
+    std::uint64_t randomValue = 0; ///< Random value, uniformly distributed over all numbers.
+    std::chrono::microseconds latencyTarget{0}; ///< Latency target of the route; zero for none.
 };
 
-/// \brief The backend server that a request goes to, with what was known when it was chosen.
+/// \brief The backend server chosen for a request, with the state on which the choice was based.
 struct FleetChoice
 {
     std::string serverId;
     std::string address;
-    std::optional<std::uint64_t> weightsVersion; ///< That the request is meant for.
-    std::optional<std::chrono::milliseconds> outdatedFor; ///< Since newer weights were named, as far as is known; nothing if none were.
-    std::string cacheScope; ///< Prompts of other scopes share no cached part with this one.
-    std::vector<SharedPart> parts; ///< Of the prompt, in order; without the last one, which is the request's own.
-    std::uint32_t warmParts = 0; ///< Leading ones believed to be in its cache.
-    std::uint32_t storedParts = 0; ///< Leading ones that the prompt's store of kept KV cache holds.
-    std::string cacheSource; ///< Address of an engine or a store, to fetch missing parts from; empty for none.
-    std::string cacheStore; ///< Address of the store that should get what it lacks; empty for none.
+    std::optional<std::uint64_t> weightsVersion; ///< Version of the weights for which the request is meant.
+    std::optional<std::chrono::milliseconds> outdatedFor; ///< Time since newer weights were announced, if it is known; nothing if none were.
+    std::string cacheScope; ///< Scope of the cached parts; prompts of different scopes share none.
+    std::vector<SharedPart> parts; ///< Shared parts of the prompt in order, without the last one, which belongs to this request alone.
+    std::uint32_t warmParts = 0; ///< Number of leading parts assumed to be in the cache of the engine.
+    std::uint32_t storedParts = 0; ///< Number of leading parts that the prompt's store of saved KV cache holds.
+    std::string cacheSource; ///< Address of an engine or a store to fetch missing parts from; empty for none.
+    std::string cacheStore; ///< Address of the store to which the parts that it lacks are saved; empty for none.
     BackendServerId id{};
-    std::uint64_t incarnation = 0; ///< Of the backend server when it was chosen.
+    std::uint64_t incarnation = 0; ///< Incarnation of the backend server when it was chosen.
     RouteQuery route;
     std::chrono::microseconds work{0};
     std::string routeName;
-    std::uint32_t waiting = 0; ///< Requests that wait there, by the agent's last news and what was sent since.
-    std::optional<std::chrono::microseconds> expectedWait; ///< Before it is begun; nothing if there are no news.
-    std::chrono::microseconds bearableWait{std::chrono::microseconds::max()}; ///< With which it would still be answered in time.
-    std::optional<std::chrono::milliseconds> newsAge; ///< Of the agent's news by which the wait is expected.
-    bool isBusyWithWeights = false; ///< It loads new weights or is about to; all others do too.
+    std::uint32_t waiting = 0; ///< Number of requests that wait there: those in the last status report and those estimated to have been sent since.
+    std::optional<std::chrono::microseconds> expectedWait; ///< Expected wait until the request starts; nothing without a status report.
+    std::chrono::microseconds acceptableWait{std::chrono::microseconds::max()}; ///< Maximum wait with which the answer still meets the latency target.
+    std::optional<std::chrono::milliseconds> reportAge; ///< Age of the status report on which the expected wait is based.
+    bool isBusyWithWeights = false; ///< Whether the engine loads new weights or is about to, as do all others.
     Core::TimePoint sentAt;
 };
 
--- a/src/libs/decisions/relay/homedomains.cpp
+++ b/src/libs/decisions/relay/homedomains.cpp
@@ -17,8 +17,8 @@
     ++m_domains[{service, model}][domain];
 }
 
-// The failure domain in which a prompt is at home, with a part of all prompts that is each domain's part of the engines. With its store there too, what is
-// saved and fetched stays inside.
+// Each failure domain is the home of a share of all prompts that equals its share of the engines. As the store of a prompt is in the same domain, saving and
+// fetching its parts causes no traffic between domains.
 std::string HomeDomains::homeOf(const std::string &service, const std::string &model, PrefixKey prompt) const
 {
     std::string home;
--- a/src/libs/decisions/relay/orderfailover.cpp
+++ b/src/libs/decisions/relay/orderfailover.cpp
@@ -4,7 +4,8 @@
 
 namespace Verbena::Decisions {
 
-OrderFailover::OrderFailover(const OrderFailoverOptions &options, const OrderLeaseOptions &lease, const WeightsPace &pace, std::string host, std::uint64_t seed)
+OrderFailover::OrderFailover(
+    const OrderFailoverOptions &options, const OrderLeaseOptions &lease, const RolloutOptions &pace, std::string host, std::uint64_t seed)
     : m_options(options)
     , m_leaseOptions(lease)
     , m_pace(pace)
@@ -28,7 +29,7 @@
 {
     // One moment for all engines that are new here, so that one commit takes their rows.
     const auto wait = std::chrono::duration_cast<Core::Clock::duration>(m_options.stagger * m_random.uniform());
-    std::map<std::string, std::map<std::string, WeightsTurn>> turns;
+    std::map<std::string, std::map<std::string, RolloutSlot>> turns;
     std::set<std::string> orphaned;
     for (OrphanedEngine &engine : engines) {
         const WeightsGoal &goal = goals.at(engine.model);
@@ -39,7 +40,7 @@
             // An engine that still waits for its turn keeps it, as with an agent.
             const Core::TimePoint planned = wasOwed ? entry.turn : Core::TimePoint::max();
             if (!turns.contains(engine.model)) {
-                turns[engine.model] = weightsTurns(goal.holders, goal.version);
+                turns[engine.model] = rolloutSlots(goal.holders, goal.version);
             }
             entry.turn = weightsLoadTime(turns[engine.model][engine.id], m_pace, {goal.namedAt, engine.since}, planned);
             entry.begin = std::max(goal.namedAt, engine.since) + wait;
--- a/src/libs/decisions/relay/orderfailover.h
+++ b/src/libs/decisions/relay/orderfailover.h
@@ -62,7 +62,7 @@
 class OrderFailover
 {
 public:
-    OrderFailover(const OrderFailoverOptions &options, const OrderLeaseOptions &lease, const WeightsPace &pace, std::string host, std::uint64_t seed);
+    OrderFailover(const OrderFailoverOptions &options, const OrderLeaseOptions &lease, const RolloutOptions &pace, std::string host, std::uint64_t seed);
 
     /// \brief The engines without an agent that need orders now, and the \a goals by model.
     void follow(std::vector<OrphanedEngine> engines, const std::map<std::string, WeightsGoal> &goals);
@@ -111,7 +111,7 @@
 
     OrderFailoverOptions m_options;
     OrderLeaseOptions m_leaseOptions;
-    WeightsPace m_pace;
+    RolloutOptions m_pace;
     std::string m_host;
     RandomSource m_random;
     std::map<std::string, Entry> m_entries; ///< By address.
--- a/src/libs/decisions/relay/partindex.cpp
+++ b/src/libs/decisions/relay/partindex.cpp
@@ -8,8 +8,8 @@
 
 namespace {
 
-// What is missing at the end of a part has to be read again, so with less than this a part counts as gone.
-constexpr double mostPart = 0.7;
+// The missing end of a part has to be computed again, so below this fraction the part counts as evicted.
+constexpr double cachedFraction = 0.7;
 
 } // namespace
 
@@ -19,25 +19,25 @@
     return PartKey(XXH3_64bits_withSeed(id.data(), id.size(), scopeHash));
 }
 
-void PartIndex::take(const PartEvent &event)
+void PartIndex::apply(const PartEvent &event)
 {
     const PartKey key = partKey(event.scope, event.id);
-    const auto known = m_parts.find(key);
-    const std::uint32_t whole = known == m_parts.end() ? event.tokens : std::max(known->second.whole, event.tokens);
-    const bool wasKept = contains(key);
-    drop(key);
+    const auto existing = m_parts.find(key);
+    const std::uint32_t maximumTokens = existing == m_parts.end() ? event.tokens : std::max(existing->second.maximumTokens, event.tokens);
+    const bool wasCached = contains(key);
+    erase(key);
     if (event.tokens > 0) {
         m_order.push_back(key);
-        m_parts[key] = {event.tokens, whole, std::prev(m_order.end())};
+        m_parts[key] = {event.tokens, maximumTokens, std::prev(m_order.end())};
         m_tokens += event.tokens;
         trim();
     }
-    m_revision += wasKept != contains(key) ? 1 : 0;
+    m_revision += wasCached != contains(key) ? 1 : 0;
 }
 
-bool PartIndex::isMostlyKept(const Part &part)
+bool PartIndex::isMostlyCached(const Part &part)
 {
-    return part.tokens >= part.whole * mostPart;
+    return part.tokens >= part.maximumTokens * cachedFraction;
 }
 
 void PartIndex::setCapacity(std::uint64_t tokens)
@@ -46,7 +46,7 @@
     trim();
 }
 
-void PartIndex::drop(PartKey key)
+void PartIndex::erase(PartKey key)
 {
     const auto found = m_parts.find(key);
     if (found == m_parts.end()) {
@@ -60,7 +60,7 @@
 void PartIndex::trim()
 {
     while (m_tokens > m_capacity && !m_order.empty()) {
-        drop(m_order.front());
+        erase(m_order.front());
         ++m_revision;
     }
 }
@@ -81,7 +81,7 @@
 bool PartIndex::contains(PartKey key) const
 {
     const auto found = m_parts.find(key);
-    return found != m_parts.end() && isMostlyKept(found->second);
+    return found != m_parts.end() && isMostlyCached(found->second);
 }
 
 std::uint64_t PartIndex::capacity() const
@@ -96,13 +96,13 @@
 
 std::vector<PartKey> PartIndex::parts() const
 {
-    std::vector<PartKey> kept;
+    std::vector<PartKey> cached;
     for (const PartKey key : m_order) {
-        if (isMostlyKept(m_parts.at(key))) {
-            kept.push_back(key);
+        if (isMostlyCached(m_parts.at(key))) {
+            cached.push_back(key);
         }
     }
-    return kept;
+    return cached;
 }
 
 } // namespace Verbena::Decisions
--- a/src/libs/decisions/relay/partindex.h
+++ b/src/libs/decisions/relay/partindex.h
@@ -9,64 +9,64 @@
 
 namespace Verbena::Decisions {
 
-/// \brief Names a part of a prompt in the cache of engines: a hash of its scope and its id.
+/// \brief Key of a prompt part in the cache of engines: a hash of its scope and its id.
 enum class PartKey : std::uint64_t {};
 
-/// \brief The key of the part \a id in \a scope.
+/// \brief Returns the key of the part \a id in \a scope.
 PartKey partKey(std::string_view scope, std::string_view id);
 
-/// \brief What changed in an engine's cache.
+/// \brief A change in the cache of an engine.
 struct PartEvent
 {
     std::string scope;
     std::string id;
-    std::uint32_t tokens = 0; ///< Of the part, that are kept now; caches drop a part piece by piece from its end.
+    std::uint32_t tokens = 0; ///< Number of tokens of the part that are cached now; caches evict a part piece by piece from its end.
 };
 
-/// \brief Which parts of prompts an engine keeps, by its events.
+/// \brief The prompt parts that an engine caches, reconstructed from its cache events.
 ///
-/// Events come late and some never come. A part whose end was not told of would be believed for ever, so the index holds no more tokens than the engine
-/// can: beyond that the parts that were heard of longest ago go.
+/// Events come late and some are lost. A part whose eviction was lost would stay in the index for ever, so the index holds no more tokens than the engine can:
+/// above that it evicts the parts that were updated least recently.
 class PartIndex
 {
 public:
-    /// \brief Takes the next event.
-    void take(const PartEvent &event);
+    /// \brief Applies the next event.
+    void apply(const PartEvent &event);
 
-    /// \brief The engine holds \a tokens at most.
+    /// \brief Sets the number of tokens that the engine can cache to \a tokens.
     void setCapacity(std::uint64_t tokens);
 
-    /// \brief Forgets all: the engine was restarted.
+    /// \brief Removes all parts, after a restart of the engine.
     void clear();
 
-    /// \brief Goes up whenever parts() gives something else.
+    /// \brief Returns a number that increases whenever parts() changes.
     std::uint64_t revision() const;
 
-    /// \brief Whether most of the part is believed to be kept.
+    /// \brief Returns whether most of the part \a key is assumed to be cached.
     bool contains(PartKey key) const;
 
     std::uint64_t capacity() const;
 
-    /// \brief Tokens of all parts that are believed to be kept.
+    /// \brief Returns the number of tokens of all parts that are assumed to be cached.
     std::uint64_t tokens() const;
 
-    /// \brief The parts of which most is believed to be kept.
+    /// \brief Returns the parts of which most is assumed to be cached.
     std::vector<PartKey> parts() const;
 
 private:
     struct Part
     {
         std::uint32_t tokens;
-        std::uint32_t whole; ///< Most tokens of it that were ever kept.
+        std::uint32_t maximumTokens; ///< Maximum number of tokens of the part that were ever cached.
         std::list<PartKey>::iterator place;
     };
 
-    static bool isMostlyKept(const Part &part);
-    void drop(PartKey key);
+    static bool isMostlyCached(const Part &part);
+    void erase(PartKey key);
     void trim();
 
     std::unordered_map<PartKey, Part> m_parts;
-    std::list<PartKey> m_order; ///< The one that was heard of longest ago first.
+    std::list<PartKey> m_order; ///< Keys in the order of their last events, oldest first.
     std::uint64_t m_tokens = 0;
     std::uint64_t m_capacity = UINT64_MAX;
     std::uint64_t m_revision = 0;
--- a/src/libs/decisions/relay/promptcaches.cpp
+++ b/src/libs/decisions/relay/promptcaches.cpp
@@ -6,15 +6,15 @@
 
 namespace {
 
-// From a request until the news of its parts: events lag, agents ask and tell in turn.
-constexpr std::chrono::milliseconds newsDelay{900};
+// Time from sending a request until a report includes its parts: cache events lag, and agents poll and report in turn.
+constexpr std::chrono::milliseconds reportDelay{900};
 
-// Parts remembered for that long; beyond this number the outdated ones are dropped.
-constexpr std::size_t mostSent = 4096;
+// Number of remembered sent parts above which the expired ones are removed.
+constexpr std::size_t maxSentParts = 4096;
 
 } // namespace
 
-void PromptCaches::noteNews(BackendServerId id, const std::optional<std::vector<PartKey>> &parts, Core::TimePoint deadline)
+void PromptCaches::updateReport(BackendServerId id, const std::optional<std::vector<PartKey>> &parts, Core::TimePoint deadline)
 {
     Engine &engine = m_engines[id];
     engine.deadline = deadline;
@@ -23,23 +23,23 @@
     }
 }
 
-void PromptCaches::noteSent(BackendServerId id, const std::vector<SharedPart> &parts, Core::TimePoint now)
+void PromptCaches::recordSent(BackendServerId id, const std::vector<SharedPart> &parts, Core::TimePoint now)
 {
-    if (m_sent.size() > mostSent) {
+    if (m_sent.size() > maxSentParts) {
         std::erase_if(m_sent, [now](const auto &entry) { return now >= entry.second.deadline; });
     }
     for (const SharedPart &part : parts) {
-        m_sent[part.key] = {id, now + newsDelay};
+        m_sent[part.key] = {id, now + reportDelay};
     }
 }
 
-void PromptCaches::noteRestart(BackendServerId id)
+void PromptCaches::handleRestart(BackendServerId id)
 {
     m_engines.erase(id);
     std::erase_if(m_sent, [id](const auto &entry) { return entry.second.id == id; });
 }
 
-void PromptCaches::forget(const std::function<bool(BackendServerId)> &isGone)
+void PromptCaches::removeIf(const std::function<bool(BackendServerId)> &isGone)
 {
     std::erase_if(m_engines, [&isGone](const auto &entry) { return isGone(entry.first); });
 }
@@ -54,7 +54,7 @@
     return m_stores;
 }
 
-bool PromptCaches::isKept(const Engine &engine, BackendServerId id, PartKey part, Core::TimePoint now) const
+bool PromptCaches::isCached(const Engine &engine, BackendServerId id, PartKey part, Core::TimePoint now) const
 {
     if (engine.parts.contains(part)) {
         return true;
@@ -69,7 +69,7 @@
     if (engine == m_engines.end() || now >= engine->second.deadline) {
         return std::nullopt;
     }
-    const auto missing = std::find_if(parts.begin(), parts.end(), [&](const SharedPart &part) { return !isKept(engine->second, id, part.key, now); });
+    const auto missing = std::find_if(parts.begin(), parts.end(), [&](const SharedPart &part) { return !isCached(engine->second, id, part.key, now); });
     return static_cast<std::uint32_t>(missing - parts.begin());
 }
 
@@ -82,16 +82,16 @@
     return static_cast<std::uint32_t>(missing - parts.begin());
 }
 
-std::uint32_t PromptCaches::warmAnywhere(const CacheStore *store, const std::vector<SharedPart> &parts, Core::TimePoint now) const
+std::uint32_t PromptCaches::warmPartsAnywhere(const CacheStore *store, const std::vector<SharedPart> &parts, Core::TimePoint now) const
 {
     const std::uint32_t stored = storedParts(store, parts);
     const std::optional<BackendServerId> engine = holder(parts, stored, now);
     return engine.has_value() ? *warmParts(*engine, parts, now) : stored;
 }
 
-std::optional<BackendServerId> PromptCaches::holder(const std::vector<SharedPart> &parts, std::uint32_t least, Core::TimePoint now) const
+std::optional<BackendServerId> PromptCaches::holder(const std::vector<SharedPart> &parts, std::uint32_t minimum, Core::TimePoint now) const
 {
-    std::uint32_t most = least;
+    std::uint32_t most = minimum;
     std::optional<BackendServerId> best;
     for (const auto &[id, engine] : m_engines) {
         if (most == parts.size()) {
--- a/src/libs/decisions/relay/promptcaches.h
+++ b/src/libs/decisions/relay/promptcaches.h
@@ -15,65 +15,65 @@
 
 namespace Verbena::Decisions {
 
-/// \brief A part of a prompt that others may share, as caches know it.
+/// \brief A prompt part that other prompts may share, as it is identified in caches.
 struct SharedPart
 {
     PartKey key{};
     std::uint32_t tokens = 0;
 };
 
-/// \brief What one router believes of the caches of engines and of the store of kept KV cache.
+/// \brief The cached content of engines and of the stores of saved KV cache, as one router sees it.
 ///
-/// Engines' news lag by some tenths of a second, so a part that was sent to an engine counts as kept there until news can tell of it.
+/// Status reports lag by some tenths of a second, so a part that was sent to an engine counts as cached there until a report can include it.
 class PromptCaches
 {
 public:
-    /// \brief The engine \a id keeps \a parts, or what it kept before if there are none given; believed until \a deadline.
-    void noteNews(BackendServerId id, const std::optional<std::vector<PartKey>> &parts, Core::TimePoint deadline);
+    /// \brief Replaces the cached parts of the engine \a id with \a parts, or keeps the last ones if none are given; valid until \a deadline.
+    void updateReport(BackendServerId id, const std::optional<std::vector<PartKey>> &parts, Core::TimePoint deadline);
 
-    /// \brief A prompt of \a parts was sent to the engine \a id.
-    void noteSent(BackendServerId id, const std::vector<SharedPart> &parts, Core::TimePoint now);
+    /// \brief Records that a prompt with \a parts was sent to the engine \a id.
+    void recordSent(BackendServerId id, const std::vector<SharedPart> &parts, Core::TimePoint now);
 
-    /// \brief The engine \a id has started again with an empty cache.
-    void noteRestart(BackendServerId id);
+    /// \brief Discards the parts of the engine \a id, which has restarted with an empty cache.
+    void handleRestart(BackendServerId id);
 
-    /// \brief Forgets the engines for which \a isGone is true.
-    void forget(const std::function<bool(BackendServerId)> &isGone);
+    /// \brief Removes the engines for which \a isGone returns true.
+    void removeIf(const std::function<bool(BackendServerId)> &isGone);
 
-    /// \brief The stores of kept KV cache.
+    /// \brief Returns the stores of saved KV cache.
     CacheStores &stores();
     const CacheStores &stores() const;
 
-    /// \brief How many leading ones of \a parts the engine \a id keeps; nothing if there are no news of it.
+    /// \brief Returns how many leading ones of \a parts the engine \a id caches, or nothing without a valid report on it.
     std::optional<std::uint32_t> warmParts(BackendServerId id, const std::vector<SharedPart> &parts, Core::TimePoint now) const;
 
-    /// \brief How many leading ones of \a parts \a store holds; none without a store.
+    /// \brief Returns how many leading ones of \a parts \a store holds; 0 without a store.
     static std::uint32_t storedParts(const CacheStore *store, const std::vector<SharedPart> &parts);
 
-    /// \brief The most leading ones of \a parts that \a store or any engine has.
-    std::uint32_t warmAnywhere(const CacheStore *store, const std::vector<SharedPart> &parts, Core::TimePoint now) const;
+    /// \brief Returns the maximum number of leading ones of \a parts that \a store or any engine holds.
+    std::uint32_t warmPartsAnywhere(const CacheStore *store, const std::vector<SharedPart> &parts, Core::TimePoint now) const;
 
-    /// \brief The engine that keeps most leading ones of \a parts, if those are more than \a least.
-    std::optional<BackendServerId> holder(const std::vector<SharedPart> &parts, std::uint32_t least, Core::TimePoint now) const;
+    /// \brief Returns the engine that caches most leading ones of \a parts, if it caches more than \a minimum.
+    std::optional<BackendServerId> holder(const std::vector<SharedPart> &parts, std::uint32_t minimum, Core::TimePoint now) const;
 
 private:
     struct Engine
     {
         std::unordered_set<PartKey> parts;
-        Core::TimePoint deadline; ///< Of the news.
+        Core::TimePoint deadline; ///< End of the validity of the report.
     };
 
-    // Where a part was sent last, which no agent can have told of yet.
-    struct Sent
+    // The engine to which a part was sent last, and until when no report of its agent may include it.
+    struct SentPart
     {
         BackendServerId id{};
         Core::TimePoint deadline;
     };
 
-    bool isKept(const Engine &engine, BackendServerId id, PartKey part, Core::TimePoint now) const;
+    bool isCached(const Engine &engine, BackendServerId id, PartKey part, Core::TimePoint now) const;
 
     std::unordered_map<BackendServerId, Engine> m_engines;
-    std::unordered_map<PartKey, Sent> m_sent;
+    std::unordered_map<PartKey, SentPart> m_sent;
     CacheStores m_stores;
 };
 
--- a/src/libs/decisions/relay/promptkeys.cpp
+++ b/src/libs/decisions/relay/promptkeys.cpp
@@ -6,14 +6,14 @@
 
 namespace {
 
-// Weights stand in the scope, so that no part that was made on others can match, and so does the organisation where it shares nothing.
+// The scope contains the version of the weights, so that no part computed with other weights can match, and the organisation if it shares no cache.
 std::string cacheScope(const FleetQuery &query, std::uint64_t version)
 {
     return query.prompt->model + '@' + std::to_string(version) + (query.dedicatedTo.empty() ? "" : '/' + query.dedicatedTo);
 }
 
-// How much a prompt is asked for has nothing to do with the weights. If it were counted anew for each version, the hottest openings would have a single
-// home just when every engine is cold.
+// Demand for a prompt does not depend on the weights. If it were counted anew for each version, the prefixes in highest demand would have a single home just
+// when every engine is cold.
 std::string demandScope(const FleetQuery &query)
 {
     return query.prompt->model + (query.dedicatedTo.empty() ? "" : '/' + query.dedicatedTo);
--- a/src/libs/decisions/relay/promptoutline.h
+++ b/src/libs/decisions/relay/promptoutline.h
@@ -13,11 +13,11 @@
     std::uint32_t tokens = 0;
 };
 
-/// \brief What a caller says of the prompt of a completion.
+/// \brief Description of the prompt of a completion, as given by the caller.
 struct PromptOutline
 {
     std::string model;
-    std::vector<PromptPart> parts; ///< In order; the last one belongs to this request or its session.
+    std::vector<PromptPart> parts; ///< Parts in order; the last one belongs to this request or its session.
     std::uint32_t promptTokens = 0;
     std::uint32_t maximumOutputTokens = 0;
 };
--- a/src/libs/decisions/relay/relayconfiguration.h
+++ b/src/libs/decisions/relay/relayconfiguration.h
@@ -8,59 +8,59 @@
 
 namespace Verbena::Decisions {
 
-/// \brief What may be repeated of a request.
+/// \brief How often a request may run.
 enum class RequestKind {
     Idempotent, ///< May run more than once.
     NonIdempotent, ///< Runs at most once.
     Streaming, ///< Answered by a series of events; runs at most once unless its route lets streams be resumed.
 };
 
-/// \brief A service and the part of a route's requests that it gets.
+/// \brief A service and its share of the requests of a route.
 struct ServiceShare
 {
     std::string service;
     double weight = 1.0;
 };
 
-/// \brief Which requests go to which services, and what they may take.
+/// \brief A rule that maps requests to services, with their limits.
 struct RelayRoute
 {
     std::string name;
-    std::string host; ///< Without a port, in lower case.
-    std::string prefix; ///< Of the path; begins and ends with a slash.
+    std::string host; ///< Host name without a port, in lower case.
+    std::string prefix; ///< Path prefix; begins and ends with a slash.
     RequestKind kind = RequestKind::NonIdempotent;
-    std::chrono::milliseconds timeout{0}; ///< Longest time that a caller is kept without a final answer.
-    std::chrono::milliseconds latencyTarget{0}; ///< Until the answer, or the first event of a stream.
-    std::uint32_t attempts = 1; ///< Backend servers that may run one request.
-    std::uint32_t priority = 0; ///< 0 is the most urgent.
-    bool isPublic = false; ///< Needs no key.
-    bool isResumable = false; ///< A stream may go on at another backend server.
+    std::chrono::milliseconds timeout{0}; ///< Maximum time until a caller gets a final answer.
+    std::chrono::milliseconds latencyTarget{0}; ///< Target for the time until the answer, or until the first event of a stream.
+    std::uint32_t attempts = 1; ///< Maximum number of backend servers that may run one request.
+    std::uint32_t priority = 0; ///< Priority; 0 is the most urgent.
+    bool isPublic = false; ///< Whether callers need no key.
+    bool isResumable = false; ///< Whether a stream may be continued at another backend server.
     std::vector<ServiceShare> services;
 
-    /// \brief Whether a request of this route may run a second time.
+    /// \brief Returns whether a request of this route may run a second time.
     bool isRepeatable() const
     {
         return kind == RequestKind::Idempotent || (kind == RequestKind::Streaming && isResumable);
     }
 };
 
-/// \brief A service as far as requests to it depend on it.
+/// \brief A service, with the properties that matter for requests to it.
 struct RelayService
 {
     std::string name;
-    std::uint32_t engineSlots = 0; ///< Requests that one engine runs at once; 0 for a plain service.
-    std::string cacheStore; ///< Address of the store of kept KV cache; empty if the service is none.
-    std::string failureDomain; ///< Of the store.
-    std::uint64_t cacheTokens = 0; ///< That an engine or the store can keep.
+    std::uint32_t engineSlots = 0; ///< Number of requests that one engine runs at once; 0 for a plain service.
+    std::string cacheStore; ///< Address of the store of saved KV cache; empty if the service is none.
+    std::string failureDomain; ///< Failure domain of the store.
+    std::uint64_t cacheTokens = 0; ///< Number of tokens that an engine or the store can cache.
 };
 
-/// \brief How much an organisation may use, over all routers together.
+/// \brief Maximum usage of an organisation, over all routers together.
 struct UsageCap
 {
-    double perSecond = 0; ///< In requests, or in tokens of prompts and answers.
-    double burst = 0; ///< On top, after a time of less use.
+    double perSecond = 0; ///< Rate in requests, or in tokens of prompts and answers.
+    double burst = 0; ///< Additional usage that may be saved up in times of less use.
     bool isInTokens = false;
-    double plainCost = 1; ///< Of a request that does not say its tokens.
+    double plainCost = 1; ///< Cost in tokens of a request that does not state its number of tokens.
 
     bool operator==(const UsageCap &) const = default;
 };
@@ -70,12 +70,12 @@
 {
     std::string name;
     std::vector<std::string> keys;
-    std::optional<std::uint32_t> priority; ///< Goes before the priority of the route.
-    bool isDedicated = false; ///< Shares no KV cache with other organisations.
+    std::optional<std::uint32_t> priority; ///< Overrides the priority of the route.
+    bool isDedicated = false; ///< Whether the organisation shares no KV cache with others.
     std::optional<UsageCap> usageCap = std::nullopt;
 };
 
-/// \brief What callers may send and how long they may take.
+/// \brief Limits on the size of requests and on how long callers may take to send them.
 struct RelayLimits
 {
     std::uint32_t headerBytes = 16 * 1024;
@@ -84,10 +84,10 @@
     std::chrono::milliseconds idleTimeout{15000};
 };
 
-/// \brief Everything that an operator declares, as one whole.
+/// \brief The complete configuration declared by an operator.
 struct RelayConfiguration
 {
-    std::uint64_t version = 0; ///< Only ever goes up.
+    std::uint64_t version = 0; ///< Version number, which only increases.
     std::vector<RelayRoute> routes;
     std::vector<RelayService> services;
     std::vector<RelayOrganisation> organisations;
--- a/src/libs/decisions/relay/relaydirectory.cpp
+++ b/src/libs/decisions/relay/relaydirectory.cpp
@@ -6,8 +6,8 @@
 
 namespace {
 
-// Draws are mapped to a scale fine enough for any weights that people write.
-constexpr std::uint64_t drawScale = 1'000'000;
+// Random values are mapped to this scale, which is fine enough for any weights that operators write.
+constexpr std::uint64_t randomScale = 1'000'000;
 
 std::string lowerCase(std::string_view text)
 {
@@ -52,7 +52,7 @@
     if (prefixes == m_routes.end()) {
         return nullptr;
     }
-    // A prefix ends with a slash, so only the slashes of the path can end one.
+    // A prefix ends with a slash, so only the slashes of the path can end a matching one.
     std::string_view prefix = path.substr(0, path.rfind('/') + 1);
     while (!prefix.empty()) {
         const auto found = prefixes->second.find(prefix);
@@ -76,16 +76,16 @@
     return !m_configuration.organisations.empty();
 }
 
-const std::string &RelayDirectory::service(const RelayRoute &route, std::uint64_t draw)
+const std::string &RelayDirectory::service(const RelayRoute &route, std::uint64_t randomValue)
 {
     double total = 0;
     for (const ServiceShare &share : route.services) {
         total += share.weight;
     }
-    double place = static_cast<double>(draw % drawScale) / static_cast<double>(drawScale) * total;
+    double position = static_cast<double>(randomValue % randomScale) / static_cast<double>(randomScale) * total;
     for (const ServiceShare &share : route.services) {
-        place -= share.weight;
-        if (place < 0) {
+        position -= share.weight;
+        if (position < 0) {
             return share.service;
         }
     }
--- a/src/libs/decisions/relay/relaydirectory.h
+++ b/src/libs/decisions/relay/relaydirectory.h
@@ -9,7 +9,7 @@
 
 namespace Verbena::Decisions {
 
-/// \brief One version of the configuration, laid out for lookups; never changes.
+/// \brief One version of the configuration, immutable and indexed for lookups.
 class RelayDirectory
 {
 public:
@@ -21,19 +21,19 @@
     std::uint64_t version() const;
     const RelayLimits &limits() const;
 
-    /// \brief The route of \a host with the longest prefix that begins \a path, or nothing.
+    /// \brief Returns the route of \a host with the longest prefix that begins \a path, or null.
     const RelayRoute *route(std::string_view host, std::string_view path) const;
 
-    /// \brief The organisation that holds \a key, or nothing.
+    /// \brief Returns the organisation that holds \a key, or null.
     const RelayOrganisation *organisation(std::string_view key) const;
 
-    /// \brief Whether callers need a key at all.
+    /// \brief Returns whether callers need a key.
     bool hasOrganisations() const;
 
-    /// \brief The service of \a route for a request that drew \a draw, evenly spread over all numbers.
-    static const std::string &service(const RelayRoute &route, std::uint64_t draw);
+    /// \brief Returns the service of \a route for a request with \a randomValue, uniformly distributed over all numbers.
+    static const std::string &service(const RelayRoute &route, std::uint64_t randomValue);
 
-    /// \brief The stores of kept KV cache.
+    /// \brief Returns the services that are stores of saved KV cache.
     const std::vector<const RelayService *> &cacheStores() const;
 
 private:
@@ -49,8 +49,8 @@
     using TextMap = std::unordered_map<std::string, Value, TextHash, std::equal_to<>>;
 
     RelayConfiguration m_configuration;
-    TextMap<TextMap<const RelayRoute *>> m_routes; ///< By host, then by prefix.
-    TextMap<const RelayOrganisation *> m_organisations; ///< By key.
+    TextMap<TextMap<const RelayRoute *>> m_routes; ///< Routes by host, then by prefix.
+    TextMap<const RelayOrganisation *> m_organisations; ///< Organisations by key.
     std::vector<const RelayService *> m_cacheStores;
 };
 
--- a/src/libs/decisions/relay/relayfleet.cpp
+++ b/src/libs/decisions/relay/relayfleet.cpp
@@ -11,21 +11,21 @@
 
 namespace {
 
-// Of a plain call until it is answered; plain services are compared with each other only, so any figure does.
-constexpr milliseconds plainWork{50};
+// Work of a plain call until it is answered. Plain services are compared with each other only, so any value does.
+constexpr milliseconds plainCallWork{50};
 
-// Without new work after a connection that failed; doubles with each further one, so that a dark backend server costs few requests.
+// Pause after a failed connection; doubles with each further one, so that an unreachable backend server costs few requests.
 constexpr milliseconds unreachablePause{500};
-constexpr std::uint32_t mostDoublings = 4;
+constexpr std::uint32_t maxPauseDoublings = 4;
 
-// Without new work after a refusal: some answers later it has room again.
+// Pause after a refusal; some answers later the server has capacity again.
 constexpr milliseconds fullPause{100};
 
-// From the moment that an agent is silent until its engine gets its orders from elsewhere: an agent that is started again is back within a second.
-constexpr milliseconds agentAbsence{1500};
+// Time from when an agent falls silent until its engine gets its orders from elsewhere: an agent that is restarted is back within a second.
+constexpr milliseconds agentTimeout{1500};
 
-// From the moment that a request is called back until its engine has dropped it: the way, a step of the engine, a round of this router's loop under load, and
-// the way on which the naming was learned.
+// Time from calling back a request until its engine has dropped it: network latency, a step of the engine, an iteration of this router's event loop under
+// load, and the latency with which the announcement was received.
 constexpr milliseconds callBackMargin{250};
 
 } // namespace
@@ -38,7 +38,7 @@
 
 void RelayFleet::setRouterCount(std::uint32_t count)
 {
-    m_news.setRouterCount(count);
+    m_reports.setRouterCount(count);
 }
 
 ServerRegister &RelayFleet::servers()
@@ -51,26 +51,26 @@
     return !m_register.servers().empty();
 }
 
-bool RelayFleet::noteWeightsNamed(const std::string &model, std::uint64_t version, Core::TimePoint at)
+bool RelayFleet::recordWeightsAnnouncement(const std::string &model, std::uint64_t version, Core::TimePoint at)
 {
-    const bool isNews = m_weights[model].note(version, at);
-    if (isNews && m_namingObserver) {
-        m_namingObserver();
+    const bool isNewer = m_weights[model].record(version, at);
+    if (isNewer && m_announcementObserver) {
+        m_announcementObserver();
     }
-    return isNews;
+    return isNewer;
 }
 
-void RelayFleet::setNamingObserver(std::function<void()> observer)
+void RelayFleet::setAnnouncementObserver(std::function<void()> observer)
 {
-    m_namingObserver = std::move(observer);
+    m_announcementObserver = std::move(observer);
 }
 
-void RelayFleet::followRegister()
+void RelayFleet::syncWithRegister()
 {
-    if (m_followedRevision == m_register.revision()) {
+    if (m_syncedRevision == m_register.revision()) {
         return;
     }
-    m_followedRevision = m_register.revision();
+    m_syncedRevision = m_register.revision();
     m_versions.clear();
     m_homeDomains.clear();
     m_idsByAddress.clear();
@@ -79,7 +79,7 @@
         if (!registered.weights.empty()) {
             m_idsByAddress[registered.address].push_back(id);
         }
-        followIncarnation(backendServerId(id), registered.incarnation);
+        updateIncarnation(backendServerId(id), registered.incarnation);
         if (registered.isLeaving) {
             continue;
         }
@@ -103,28 +103,28 @@
     const auto isGone = [this](BackendServerId id) {
         return m_chooser.server(id) == nullptr;
     };
-    m_news.forget(isGone);
-    std::erase_if(m_agentsPresent, [this](const auto &entry) { return !m_idsByAddress.contains(entry.first); });
+    m_reports.removeIf(isGone);
+    std::erase_if(m_agentsPresentUntil, [this](const auto &entry) { return !m_idsByAddress.contains(entry.first); });
     std::erase_if(m_silentSince, [&](const auto &entry) { return isGone(entry.first); });
     std::erase_if(m_failures, [&](const auto &entry) { return isGone(entry.first); });
     std::erase_if(m_incarnations, [&](const auto &entry) { return isGone(entry.first); });
-    m_moves.caches().forget(isGone);
+    m_transfers.caches().removeIf(isGone);
 }
 
-// A backend server that started again under its id is cold and idle. Believing it warm would send it the prompts of its earlier start, all to be read
-// again.
-void RelayFleet::followIncarnation(BackendServerId id, std::uint64_t incarnation)
+// A backend server that restarted under its id is cold and idle. If it still counted as warm, it would get the prompts of its earlier incarnation, all to be
+// computed again.
+void RelayFleet::updateIncarnation(BackendServerId id, std::uint64_t incarnation)
 {
-    std::uint64_t &known = m_incarnations[id];
-    if (known != 0 && known != incarnation) {
-        m_news.noteRestart(id);
+    std::uint64_t &recorded = m_incarnations[id];
+    if (recorded != 0 && recorded != incarnation) {
+        m_reports.handleRestart(id);
         m_failures.erase(id);
-        m_moves.caches().noteRestart(id);
+        m_transfers.caches().handleRestart(id);
     }
-    known = incarnation;
+    recorded = incarnation;
 }
 
-// News name an address, and more than one entry may: one of an earlier engine there, or one that somebody else wrote.
+// Reports name an address, and more than one entry may name it too: that of an earlier engine there, or one that another program wrote.
 const std::string *RelayFleet::idAt(const std::string &address, std::uint64_t incarnation) const
 {
     const auto found = m_idsByAddress.find(address);
@@ -132,74 +132,75 @@
         return nullptr;
     }
     const std::vector<std::string> &ids = found->second;
-    const auto isItsStart = [&](const std::string &id) {
+    const auto isSameIncarnation = [&](const std::string &id) {
         return incarnation != 0 && m_register.servers().at(id).incarnation == incarnation;
     };
-    const auto exact = std::find_if(ids.begin(), ids.end(), isItsStart);
+    const auto exact = std::find_if(ids.begin(), ids.end(), isSameIncarnation);
     return exact == ids.end() ? &ids.back() : &*exact;
 }
 
-// Whether what becomes of the call says nothing of the backend server as it is now.
+// Returns whether the outcome of the call says nothing about the present incarnation of the backend server.
 bool RelayFleet::isOutdated(const FleetChoice &choice)
 {
-    followRegister();
-    const auto known = m_incarnations.find(choice.id);
-    return known != m_incarnations.end() && choice.incarnation != 0 && known->second != choice.incarnation;
+    syncWithRegister();
+    const auto recorded = m_incarnations.find(choice.id);
+    return recorded != m_incarnations.end() && choice.incarnation != 0 && recorded->second != choice.incarnation;
 }
 
-void RelayFleet::noteStatus(const std::string &address, const EngineStatus &status, Core::TimePoint now)
+void RelayFleet::updateStatus(const std::string &address, const EngineStatus &status, Core::TimePoint now)
 {
-    followRegister();
-    const std::string *known = idAt(address, status.incarnation);
-    if (known == nullptr) {
+    syncWithRegister();
+    const std::string *recorded = idAt(address, status.incarnation);
+    if (recorded == nullptr) {
         return;
     }
-    // Whatever becomes of the news: the register may name an earlier engine at this address too, of which nobody ever hears again.
-    m_agentsPresent[address] = now + EngineNews::lifetime;
-    const std::string id = *known;
-    if (m_register.noteIncarnation(id, status.incarnation) == IncarnationNews::Outdated) {
+    // The agent counts as present even if its report is then ignored: the register may also name an earlier engine at this address, of which no report will
+    // ever come.
+    m_agentsPresentUntil[address] = now + EngineReports::lifetime;
+    const std::string id = *recorded;
+    if (m_register.updateIncarnation(id, status.incarnation) == IncarnationComparison::Outdated) {
         return;
     }
-    followRegister();
+    syncWithRegister();
     const BackendServerId key = backendServerId(id);
-    m_news.note(key, status, now);
+    m_reports.update(key, status, now);
     if (m_chooser.server(key) != nullptr) {
-        m_moves.caches().noteNews(key, status.parts, now + EngineNews::lifetime);
+        m_transfers.caches().updateReport(key, status.parts, now + EngineReports::lifetime);
     }
     for (const ServedWeights &weights : status.weights) {
-        m_register.noteWeights(id, weights.model, weights.version);
+        m_register.updateWeights(id, weights.model, weights.version);
     }
-    m_chooser.noteLoad(key, EngineNews::loadOf(status), now);
+    m_chooser.noteLoad(key, EngineReports::loadReport(status), now);
 }
 
 std::vector<OrphanedEngine> RelayFleet::orphanedEngines(Core::TimePoint now)
 {
-    followRegister();
+    syncWithRegister();
     std::vector<OrphanedEngine> orphaned;
     for (const auto &[id, server] : m_register.servers()) {
         const BackendServerId key = backendServerId(id);
-        const auto present = m_agentsPresent.find(server.address);
-        if (present != m_agentsPresent.end() && now < present->second) {
+        const auto present = m_agentsPresentUntil.find(server.address);
+        if (present != m_agentsPresentUntil.end() && now < present->second) {
             m_silentSince.erase(key);
             continue;
         }
         const Core::TimePoint since = m_silentSince.try_emplace(key, now).first->second;
         for (const ServedWeights &weights : server.weights) {
-            const auto named = m_weights.find(weights.model);
-            const bool isOwed = named != m_weights.end() && weights.version < named->second.newest();
-            if (isOwed && !server.isLeaving && now >= since + agentAbsence) {
-                orphaned.push_back({id, server.address, weights.model, named->second.newest(), since});
+            const auto announced = m_weights.find(weights.model);
+            const bool isBehind = announced != m_weights.end() && weights.version < announced->second.newest();
+            if (isBehind && !server.isLeaving && now >= since + agentTimeout) {
+                orphaned.push_back({id, server.address, weights.model, announced->second.newest(), since});
             }
         }
     }
-    return m_news.isPerhapsCutOff(now) ? std::vector<OrphanedEngine>() : orphaned;
+    return m_reports.isLikelyIsolated(now) ? std::vector<OrphanedEngine>() : orphaned;
 }
 
 std::map<std::string, WeightsGoal> RelayFleet::weightsGoals() const
 {
     std::map<std::string, WeightsGoal> goals;
     for (const auto &[model, history] : m_weights) {
-        goals[model] = {history.newest(), history.newestSince(), {}};
+        goals[model] = {history.newest(), history.newestAnnouncedAt(), {}};
     }
     for (const auto &[id, server] : m_register.servers()) {
         for (const ServedWeights &weights : server.weights) {
@@ -214,34 +215,34 @@
 
 CacheStores &RelayFleet::cacheStores()
 {
-    return m_moves.caches().stores();
+    return m_transfers.caches().stores();
 }
 
-void RelayFleet::estimate(FleetChoice &choice, const FleetQuery &query, Core::TimePoint now) const
+void RelayFleet::estimateWait(FleetChoice &choice, const FleetQuery &query, Core::TimePoint now) const
 {
-    const std::optional<EngineQueue> queue = m_news.queue(choice.id, now);
+    const std::optional<EngineQueue> queue = m_reports.queue(choice.id, now);
     if (!queue.has_value()) {
         return;
     }
-    static const WaitEstimate nothingLearned;
-    const auto learned = m_estimates.find(query.route);
+    static const WaitEstimate noEstimate;
+    const auto estimate = m_estimates.find(query.route);
     choice.waiting = queue->waiting;
-    choice.newsAge = queue->newsAge;
-    const WaitEstimate &waits = learned == m_estimates.end() ? nothingLearned : learned->second;
+    choice.reportAge = queue->reportAge;
+    const WaitEstimate &waits = estimate == m_estimates.end() ? noEstimate : estimate->second;
     choice.expectedWait = waits.expected(choice.waiting, now);
-    choice.bearableWait = waits.bearable(query.latencyTarget);
+    choice.acceptableWait = waits.bearable(query.latencyTarget);
 }
 
-// An engine whose queue stands still, for instance because its memory is full, may begin a request seconds after it came, and then on weights that
-// nothing may begin on any more. What is known here lets few requests come to that; those that do are called back.
-void RelayFleet::excludeLateBeginners(FleetChoice &choice, const FleetQuery &query, Core::TimePoint now) const
+// An engine whose queue is stalled, for instance because its memory is full, may start a request seconds after it arrived, when its weights may no longer be
+// used. This exclusion keeps most requests away from such engines; those that still get there are called back.
+void RelayFleet::excludeLateStarters(FleetChoice &choice, const FleetQuery &query, Core::TimePoint now) const
 {
-    const std::optional<Core::TimePoint> until = begunUntil(*choice.weightsVersion, weightsHistory(query), m_weightsLimits);
-    if (!until.has_value() || EngineNews::beginsAnywhere(*until, now)) {
+    const std::optional<Core::TimePoint> until = latestStart(*choice.weightsVersion, weightsHistory(query), m_weightsLimits);
+    if (!until.has_value() || EngineReports::startsInTimeAnywhere(*until, now)) {
         return;
     }
     for (const auto &[id, incarnation] : m_incarnations) {
-        if (m_news.mayBeginLate(id, m_chooser.unanswered(id), *until, now)) {
+        if (m_reports.mayStartLate(id, m_chooser.unanswered(id), *until, now)) {
             choice.route.excluded.push_back(id);
         }
     }
@@ -249,9 +250,9 @@
 
 const WeightsHistory &RelayFleet::weightsHistory(const FleetQuery &query) const
 {
-    static const WeightsHistory nothingNamed;
+    static const WeightsHistory emptyHistory;
     const auto history = m_weights.find(query.prompt->model);
-    return history == m_weights.end() ? nothingNamed : history->second;
+    return history == m_weights.end() ? emptyHistory : history->second;
 }
 
 RouteDecision RelayFleet::candidates(FleetChoice &choice, const FleetQuery &query, Core::TimePoint now) const
@@ -264,17 +265,17 @@
         return m_chooser.choose(route, now);
     }
     const std::size_t tried = route.excluded.size();
-    excludeLateBeginners(choice, query, now);
+    excludeLateStarters(choice, query, now);
     const std::size_t usable = route.excluded.size();
     if (usable - tried == m_incarnations.size()) {
-        // Looking through all of them in vain takes time by the square of their number.
+        // Searching all candidates in vain takes time quadratic in their number.
         return {};
     }
-    m_news.addSilent(route.excluded, now);
-    m_news.addBusyWithWeights(route.excluded, query.prompt->maximumOutputTokens, now);
+    m_reports.addSilent(route.excluded, now);
+    m_reports.addBusyWithWeights(route.excluded, query.prompt->maximumOutputTokens, now);
     RouteDecision decision = m_chooser.choose(route, now);
     if (decision.candidates.empty() && route.excluded.size() > usable) {
-        // One that is busy with weights is better than none.
+        // An engine that is busy with weights is better than none.
         route.excluded.resize(usable);
         decision = m_chooser.choose(route, now);
         choice.isBusyWithWeights = true;
@@ -282,7 +283,7 @@
     return decision;
 }
 
-void RelayFleet::settle(FleetChoice &choice, const RouteCandidate &best, const FleetQuery &query, Core::TimePoint now) const
+void RelayFleet::complete(FleetChoice &choice, const RouteCandidate &best, const FleetQuery &query, Core::TimePoint now) const
 {
     const BackendServer *server = m_chooser.server(best.id);
     choice.id = best.id;
@@ -290,18 +291,18 @@
     choice.address = server->endpoint;
     choice.incarnation = server->incarnation;
     if (query.prompt == nullptr) {
-        choice.work = plainWork;
+        choice.work = plainCallWork;
         return;
     }
-    choice.work = PromptMoves::work(best, *query.prompt);
+    choice.work = PromptTransfers::work(best, *query.prompt);
     choice.warmParts = best.warmPieces;
     const WeightsHistory &history = weightsHistory(query);
     const std::optional<Core::TimePoint> outdated = history.outdatedSince(*choice.weightsVersion);
     if (outdated.has_value() && *outdated != Core::TimePoint::min()) {
         choice.outdatedFor = std::chrono::duration_cast<milliseconds>(now - *outdated);
     }
-    m_moves.settle(choice, query, history, m_chooser, now);
-    estimate(choice, query, now);
+    m_transfers.planTransfers(choice, query, history, m_chooser, now);
+    estimateWait(choice, query, now);
 }
 
 std::optional<FleetChoice> RelayFleet::choosePlain(const FleetQuery &query, Core::TimePoint now) const
@@ -309,12 +310,12 @@
     FleetChoice choice;
     choice.routeName = query.route;
     choice.route.service = query.service;
-    choice.route.root = PrefixKey(query.draw);
+    choice.route.root = PrefixKey(query.randomValue);
     const RouteDecision decision = candidates(choice, query, now);
     if (decision.candidates.empty()) {
         return std::nullopt;
     }
-    settle(choice, decision.candidates.front(), query, now);
+    complete(choice, decision.candidates.front(), query, now);
     return choice;
 }
 
@@ -324,20 +325,20 @@
     choice.routeName = query.route;
     choice.weightsVersion = weights;
     describePrompt(choice, query);
-    if (m_moves.isForStores(choice)) {
+    if (m_transfers.isStorable(choice)) {
         choice.route.homeDomain = m_homeDomains.homeOf(query.service, query.prompt->model, choice.route.keys.back());
     }
     const RouteDecision decision = candidates(choice, query, now);
     if (decision.candidates.empty()) {
         return std::nullopt;
     }
-    settle(choice, choice.parts.empty() ? decision.candidates.front() : m_moves.bestOf(decision, choice, now), query, now);
+    complete(choice, choice.parts.empty() ? decision.candidates.front() : m_transfers.cheapest(decision, choice, now), query, now);
     return choice;
 }
 
-bool RelayFleet::isBearable(const FleetChoice &choice)
+bool RelayFleet::isAcceptable(const FleetChoice &choice)
 {
-    return !choice.isBusyWithWeights && choice.expectedWait.value_or(microseconds(0)) <= choice.bearableWait;
+    return !choice.isBusyWithWeights && choice.expectedWait.value_or(microseconds(0)) <= choice.acceptableWait;
 }
 
 bool RelayFleet::isBetter(const FleetChoice &choice, const FleetChoice &other)
@@ -350,7 +351,7 @@
 
 std::optional<FleetChoice> RelayFleet::choose(const FleetQuery &query, Core::TimePoint now)
 {
-    followRegister();
+    syncWithRegister();
     if (query.prompt == nullptr) {
         return choosePlain(query, now);
     }
@@ -359,29 +360,29 @@
         return std::nullopt;
     }
     const WeightsHistory &history = weightsHistory(query);
-    const auto drawn = chooseWeights(versions->second, history, m_weightsLimits, now, query.draw);
-    if (!drawn.has_value()) {
+    const auto preferred = chooseWeights(versions->second, history, m_weightsLimits, now, query.randomValue);
+    if (!preferred.has_value()) {
         return std::nullopt;
     }
-    std::optional<FleetChoice> best = chooseOn(*drawn, query, now);
-    if (best.has_value() && isBearable(*best)) {
+    std::optional<FleetChoice> best = chooseOn(*preferred, query, now);
+    if (best.has_value() && isAcceptable(*best)) {
         return best;
     }
     for (const std::uint64_t weights : usableWeights(versions->second, history, m_weightsLimits, now)) {
-        std::optional<FleetChoice> other = weights == *drawn ? std::nullopt : chooseOn(weights, query, now);
+        std::optional<FleetChoice> other = weights == *preferred ? std::nullopt : chooseOn(weights, query, now);
         if (other.has_value() && (!best.has_value() || isBetter(*other, *best))) {
             best = std::move(other);
         }
-        if (best.has_value() && isBearable(*best)) {
+        if (best.has_value() && isAcceptable(*best)) {
             break;
         }
     }
     return best;
 }
 
-bool RelayFleet::isHeldUpFromLoading(const FleetChoice &choice, Core::TimePoint now) const
+bool RelayFleet::isWaitingToLoad(const FleetChoice &choice, Core::TimePoint now) const
 {
-    return m_news.isHeldUpFromLoading(choice.id, now);
+    return m_reports.isWaitingToLoad(choice.id, now);
 }
 
 std::optional<Core::TimePoint> RelayFleet::callBackTime(const FleetChoice &choice, const std::string &model) const
@@ -390,60 +391,60 @@
     if (history == m_weights.end() || !choice.weightsVersion.has_value()) {
         return std::nullopt;
     }
-    const std::optional<Core::TimePoint> until = begunUntil(*choice.weightsVersion, history->second, m_weightsLimits);
+    const std::optional<Core::TimePoint> until = latestStart(*choice.weightsVersion, history->second, m_weightsLimits);
     return until.has_value() ? std::optional(*until - callBackMargin) : std::nullopt;
 }
 
-void RelayFleet::noteSent(FleetChoice &choice, Core::TimePoint now)
+void RelayFleet::recordSent(FleetChoice &choice, Core::TimePoint now)
 {
     choice.sentAt = now;
     m_chooser.noteDispatched(choice.id, choice.route, choice.work, now);
-    m_news.noteSent(choice.id);
-    m_moves.caches().noteSent(choice.id, choice.parts, now);
+    m_reports.recordSent(choice.id);
+    m_transfers.caches().recordSent(choice.id, choice.parts, now);
 }
 
-void RelayFleet::noteAnswered(const FleetChoice &choice, Core::TimePoint now)
+void RelayFleet::recordAnswered(const FleetChoice &choice, Core::TimePoint now)
 {
     if (isOutdated(choice)) {
         return;
     }
     m_failures.erase(choice.id);
-    m_news.noteAnswered(choice.id, now);
+    m_reports.recordAnswered(choice.id, now);
     m_chooser.noteReply(choice.id, choice.route, static_cast<std::uint32_t>(choice.parts.size()), choice.work, now);
     if (choice.expectedWait.has_value()) {
         m_estimates[choice.routeName].note(choice.waiting, std::chrono::duration_cast<microseconds>(now - choice.sentAt), now);
     }
 }
 
-void RelayFleet::noteTrouble(const FleetChoice &choice, ServerTrouble trouble, Core::TimePoint now)
+void RelayFleet::recordFailure(const FleetChoice &choice, ServerFailure failure, Core::TimePoint now)
 {
     if (isOutdated(choice)) {
         return;
     }
     RouteRefusal refusal;
     refusal.isUnavailable = true;
-    refusal.retryAfter = trouble == ServerTrouble::Full ? fullPause : unreachablePause * (1 << std::min(m_failures[choice.id]++, mostDoublings));
+    refusal.retryAfter = failure == ServerFailure::Full ? fullPause : unreachablePause * (1 << std::min(m_failures[choice.id]++, maxPauseDoublings));
     m_chooser.noteRefusal(choice.id, choice.route, refusal, choice.work, now);
 }
 
-void RelayFleet::noteAbandoned(const FleetChoice &choice)
+void RelayFleet::recordAbandoned(const FleetChoice &choice)
 {
     if (!isOutdated(choice)) {
         m_chooser.noteNoAnswer(choice.id, choice.work);
     }
 }
 
-void RelayFleet::noteWeights(const FleetChoice &choice, const std::string &model, std::uint64_t version)
+void RelayFleet::updateWeights(const FleetChoice &choice, const std::string &model, std::uint64_t version)
 {
     if (!isOutdated(choice)) {
-        m_register.noteWeights(choice.serverId, model, version);
+        m_register.updateWeights(choice.serverId, model, version);
     }
 }
 
-void RelayFleet::noteReplaced(const FleetChoice &choice)
+void RelayFleet::markReplaced(const FleetChoice &choice)
 {
     if (!isOutdated(choice)) {
-        m_register.noteReplaced(choice.serverId);
+        m_register.markReplaced(choice.serverId);
     }
 }
 
--- a/src/libs/decisions/relay/relayfleet.h
+++ b/src/libs/decisions/relay/relayfleet.h
@@ -1,12 +1,12 @@
 #pragma once
 
 #include "admission.h"
-#include "enginenews.h"
+#include "enginereports.h"
 #include "enginestatus.h"
 #include "fleetchoice.h"
 #include "homedomains.h"
 #include "orderfailover.h"
-#include "promptmoves.h"
+#include "prompttransfers.h"
 #include "serverregister.h"
 #include "weightschoice.h"
 
@@ -21,112 +21,113 @@
 
 namespace Verbena::Decisions {
 
-/// \brief Why a backend server gets no new work for a while.
-enum class ServerTrouble {
-    Unreachable, ///< No connection could be made, or it broke.
-    Full, ///< It refused a request.
+/// \brief Reason why a backend server gets no new requests for a while.
+enum class ServerFailure {
+    Unreachable, ///< A connection could not be made, or broke.
+    Full, ///< The server refused a request.
 };
 
-/// \brief The backend servers of a deployment with what one router believes of their load, cache and weights.
+/// \brief The backend servers of a deployment, with their load, cache and weights as one router sees them.
 class RelayFleet
 {
 public:
     RelayFleet(const RoutingOptions &routing, const WeightsLimits &weights);
 
-    /// \brief The register of backend servers, to be kept up to date by its owner.
+    /// \brief Returns the register of backend servers, which the owner keeps up to date.
     ServerRegister &servers();
 
-    /// \brief So many routers, this one among them, send requests to the same backend servers.
+    /// \brief Sets the number of routers, including this one, that send requests to the same backend servers.
     void setRouterCount(std::uint32_t count);
 
-    /// \brief Whether any backend server is known.
+    /// \brief Returns whether any backend server is registered.
     bool hasServers() const;
 
-    /// \brief \a version of the weights of \a model was named at \a at; returns whether it is newer than all before.
+    /// \brief Records that \a version of the weights of \a model was announced at \a at; returns whether it is newer than all before.
     ///
-    /// A later call for the same version corrects the moment; Core::TimePoint::min() says that nobody can tell it.
-    bool noteWeightsNamed(const std::string &model, std::uint64_t version, Core::TimePoint at);
+    /// A later call for the same version corrects the time; Core::TimePoint::min() means that the time is not known.
+    bool recordWeightsAnnouncement(const std::string &model, std::uint64_t version, Core::TimePoint at);
 
-    /// \brief Calls \a observer when newer weights were named: calls that wait may have to be called back, or sooner than before.
-    void setNamingObserver(std::function<void()> observer);
+    /// \brief Sets \a observer, which is called when newer weights are announced: waiting calls may have to be called back, or sooner than before.
+    void setAnnouncementObserver(std::function<void()> observer);
 
-    /// \brief The agent beside the engine at \a address said how it is; believed for a moment.
-    void noteStatus(const std::string &address, const EngineStatus &status, Core::TimePoint now);
+    /// \brief Updates the status of the engine at \a address with the report of its agent, which is valid for EngineReports::lifetime.
+    void updateStatus(const std::string &address, const EngineStatus &status, Core::TimePoint now);
 
-    /// \brief The stores of kept KV cache, to be kept up to date by who follows them.
+    /// \brief Returns the stores of saved KV cache, which the component that follows them keeps up to date.
     CacheStores &cacheStores();
 
-    /// \brief Engines without the newest weights whose agents were not heard of for long; to be asked several times a second.
+    /// \brief Returns engines without the newest weights whose agents have been silent for long; to be called several times a second.
     std::vector<OrphanedEngine> orphanedEngines(Core::TimePoint now);
 
-    /// \brief The newest weights by model, and the engines that serve it.
+    /// \brief Returns the newest weights by model, with the engines that serve the model.
     std::map<std::string, WeightsGoal> weightsGoals() const;
 
-    /// \brief Where to send a request, or nothing if no backend server can take it now.
+    /// \brief Chooses a backend server for a request; returns nothing if none can accept it now.
     ///
-    /// While new weights are brought to the fleet, those engines that have them are few and cold, and the others warm. A request that would have to wait
-    /// too long at the one kind goes to the other.
+    /// During the rollout of new weights the engines that have them are few and cold, and the others warm. A request that would wait too long at one kind goes
+    /// to the other.
     std::optional<FleetChoice> choose(const FleetQuery &query, Core::TimePoint now);
 
-    /// \brief Whether the engine of \a choice waits for its runs to end so that it can load new weights.
+    /// \brief Returns whether the engine of \a choice loads new weights or finishes its requests in order to load them.
     ///
-    /// Until they have ended it takes nothing new, so streams that can go on elsewhere should.
-    bool isHeldUpFromLoading(const FleetChoice &choice, Core::TimePoint now) const;
+    /// Until it has loaded them it accepts nothing new, so streams that can be continued elsewhere should move.
+    bool isWaitingToLoad(const FleetChoice &choice, Core::TimePoint now) const;
 
-    /// \brief When the request of \a choice, sent for \a model, has to be called back if it has not begun by then; nothing on the newest weights.
+    /// \brief Returns the time at which the request of \a choice, sent for \a model, has to be called back if it has not started by then; nothing on the
+    /// newest weights.
     ///
-    /// It changes when newer weights are named.
+    /// The time changes when newer weights are announced.
     std::optional<Core::TimePoint> callBackTime(const FleetChoice &choice, const std::string &model) const;
 
-    /// \brief The request of \a choice was sent.
-    void noteSent(FleetChoice &choice, Core::TimePoint now);
+    /// \brief Records that the request of \a choice was sent.
+    void recordSent(FleetChoice &choice, Core::TimePoint now);
 
-    /// \brief The first part of the answer has come.
-    void noteAnswered(const FleetChoice &choice, Core::TimePoint now);
+    /// \brief Records that the first part of the answer was received.
+    void recordAnswered(const FleetChoice &choice, Core::TimePoint now);
 
-    /// \brief The backend server did not take the request.
-    void noteTrouble(const FleetChoice &choice, ServerTrouble trouble, Core::TimePoint now);
+    /// \brief Records that the backend server did not accept the request.
+    void recordFailure(const FleetChoice &choice, ServerFailure failure, Core::TimePoint now);
 
-    /// \brief The call ended without a word about the backend server.
-    void noteAbandoned(const FleetChoice &choice);
+    /// \brief Records that the call ended without information on the backend server.
+    void recordAbandoned(const FleetChoice &choice);
 
-    /// \brief The backend server answered with \a version of \a model, which counts more than its entry.
-    void noteWeights(const FleetChoice &choice, const std::string &model, std::uint64_t version);
+    /// \brief Updates the weights of the backend server, which answered with \a version of \a model; an answer takes precedence over its entry.
+    void updateWeights(const FleetChoice &choice, const std::string &model, std::uint64_t version);
 
-    /// \brief Another backend server answered in its place.
-    void noteReplaced(const FleetChoice &choice);
+    /// \brief Removes the backend server, as another one answered at its address.
+    void markReplaced(const FleetChoice &choice);
 
 private:
-    void followRegister();
-    void followIncarnation(BackendServerId id, std::uint64_t incarnation);
+    void syncWithRegister();
+    void updateIncarnation(BackendServerId id, std::uint64_t incarnation);
     const std::string *idAt(const std::string &address, std::uint64_t incarnation) const;
     bool isOutdated(const FleetChoice &choice);
     const WeightsHistory &weightsHistory(const FleetQuery &query) const;
     RouteDecision candidates(FleetChoice &choice, const FleetQuery &query, Core::TimePoint now) const;
     std::optional<FleetChoice> choosePlain(const FleetQuery &query, Core::TimePoint now) const;
     std::optional<FleetChoice> chooseOn(std::uint64_t weights, const FleetQuery &query, Core::TimePoint now) const;
-    static bool isBearable(const FleetChoice &choice);
+    static bool isAcceptable(const FleetChoice &choice);
     static bool isBetter(const FleetChoice &choice, const FleetChoice &other);
-    void settle(FleetChoice &choice, const RouteCandidate &best, const FleetQuery &query, Core::TimePoint now) const;
-    void estimate(FleetChoice &choice, const FleetQuery &query, Core::TimePoint now) const;
-    void excludeLateBeginners(FleetChoice &choice, const FleetQuery &query, Core::TimePoint now) const;
+    void complete(FleetChoice &choice, const RouteCandidate &best, const FleetQuery &query, Core::TimePoint now) const;
+    void estimateWait(FleetChoice &choice, const FleetQuery &query, Core::TimePoint now) const;
+    void excludeLateStarters(FleetChoice &choice, const FleetQuery &query, Core::TimePoint now) const;
 
     ServerRegister m_register;
     RouteChooser m_chooser;
     WeightsLimits m_weightsLimits;
-    std::map<std::string, WeightsHistory> m_weights; ///< By model.
-    std::function<void()> m_namingObserver;
-    std::map<std::pair<std::string, std::string>, std::map<std::uint64_t, std::size_t>> m_versions; ///< By service and model.
+    std::map<std::string, WeightsHistory> m_weights; ///< Weights history by model.
+    std::function<void()> m_announcementObserver;
+    std::map<std::pair<std::string, std::string>, std::map<std::uint64_t, std::size_t>> m_versions; ///< Engines at each version, by service and model.
     HomeDomains m_homeDomains;
-    EngineNews m_news;
-    std::unordered_map<std::string, Core::TimePoint> m_agentsPresent; ///< Until when, by address of the engine.
-    std::unordered_map<BackendServerId, Core::TimePoint> m_silentSince; ///< Engines whose agents are not heard of.
-    std::unordered_map<BackendServerId, std::uint32_t> m_failures; ///< Connections that failed since the last answer.
-    PromptMoves m_moves;
-    std::map<std::string, WaitEstimate> m_estimates; ///< By route.
-    std::unordered_map<std::string, std::vector<std::string>> m_idsByAddress; ///< Of engines; entries may name an address twice.
-    std::unordered_map<BackendServerId, std::uint64_t> m_incarnations; ///< Of the backend servers that are known.
-    std::uint64_t m_followedRevision = 0;
+    EngineReports m_reports;
+    std::unordered_map<std::string, Core::TimePoint> m_agentsPresentUntil; ///< Time until which the agent counts as present, by address of the engine.
+    std::unordered_map<BackendServerId, Core::TimePoint> m_silentSince; ///< Time at which the agents of engines were first found silent.
+    std::unordered_map<BackendServerId, std::uint32_t> m_failures; ///< Number of failed connections since the last answer.
+    PromptTransfers m_transfers;
+    std::map<std::string, WaitEstimate> m_estimates; ///< Wait estimates by route.
+    std::unordered_map<std::string, std::vector<std::string>> m_idsByAddress; ///< Ids of engines by address; several entries may name the same address.
+    std::unordered_map<BackendServerId, std::uint64_t> m_incarnations; ///< Incarnations of the registered backend servers.
+    std::uint64_t m_syncedRevision = 0;
 };
 
 } // namespace Verbena::Decisions
--- a/src/libs/decisions/relay/serverregister.cpp
+++ b/src/libs/decisions/relay/serverregister.cpp
@@ -7,8 +7,8 @@
 
 namespace {
 
-// Of one id; news of a start that was followed by more others than this are no longer on their way.
-constexpr std::size_t rememberedIncarnations = 8;
+// Number of earlier incarnations kept for each id; no messages of older ones are still in transit.
+constexpr std::size_t maxEarlierIncarnations = 8;
 
 } // namespace
 
@@ -17,11 +17,11 @@
     std::set<std::string> present;
     for (const RegisteredServer &server : servers) {
         present.insert(server.id);
-        put(server);
+        set(server);
     }
     std::vector<std::string> missing;
     for (const auto &[id, server] : m_servers) {
-        if (!present.contains(id) && !m_lapsed.contains(id)) {
+        if (!present.contains(id) && !m_missing.contains(id)) {
             missing.push_back(id);
         }
     }
@@ -30,37 +30,37 @@
     }
 }
 
-void ServerRegister::put(const RegisteredServer &server)
+void ServerRegister::set(const RegisteredServer &server)
 {
-    RegisteredServer &known = m_servers[server.id];
-    const IncarnationNews news = compare(known, server.incarnation);
-    if (news == IncarnationNews::Outdated) {
+    RegisteredServer &entry = m_servers[server.id];
+    const IncarnationComparison comparison = compare(entry, server.incarnation);
+    if (comparison == IncarnationComparison::Outdated) {
         return;
     }
-    m_lapsed.erase(server.id);
-    if (known == server) {
+    m_missing.erase(server.id);
+    if (entry == server) {
         return;
     }
-    if (news == IncarnationNews::Restarted) {
-        noteRestart(known, server.incarnation);
-        known = server;
+    if (comparison == IncarnationComparison::Restarted) {
+        applyRestart(entry, server.incarnation);
+        entry = server;
         return;
     }
-    RegisteredServer taken = server;
-    taken.incarnation = server.incarnation == 0 ? known.incarnation : server.incarnation;
-    // An entry is written now and then; what the server answered meanwhile is newer, and weights only ever go up.
-    for (ServedWeights &weights : taken.weights) {
-        for (const ServedWeights &before : known.weights) {
+    RegisteredServer updated = server;
+    updated.incarnation = server.incarnation == 0 ? entry.incarnation : server.incarnation;
+    // An entry is written only now and then; what the server answered meanwhile is newer, and versions of weights only increase.
+    for (ServedWeights &weights : updated.weights) {
+        for (const ServedWeights &before : entry.weights) {
             if (before.model == weights.model) {
                 weights.version = std::max(weights.version, before.version);
             }
         }
     }
-    taken.isLeaving = taken.isLeaving || known.isLeaving;
-    if (known == taken) {
+    updated.isLeaving = updated.isLeaving || entry.isLeaving;
+    if (entry == updated) {
         return;
     }
-    known = std::move(taken);
+    entry = std::move(updated);
     ++m_revision;
 }
 
@@ -69,82 +69,82 @@
     if (!m_servers.contains(id)) {
         return;
     }
-    if (isDoubtful(now)) {
-        m_lapsed.emplace(id, m_isStoreLost ? Core::TimePoint::max() : m_lapseDeadline);
+    if (mayHaveExpired(now)) {
+        m_missing.emplace(id, m_isStoreLost ? Core::TimePoint::max() : m_graceDeadline);
         return;
     }
-    forget(id);
+    removeEntry(id);
 }
 
-void ServerRegister::forget(const std::string &id)
+void ServerRegister::removeEntry(const std::string &id)
 {
-    m_lapsed.erase(id);
+    m_missing.erase(id);
     m_earlierIncarnations.erase(id);
     m_servers.erase(id);
     ++m_revision;
 }
 
-// Clocks jump, so a smaller number may be the later start: what was seen before tells.
-IncarnationNews ServerRegister::compare(const RegisteredServer &known, std::uint64_t incarnation) const
+// Clocks may jump, so a smaller number may belong to the later start; only the recorded incarnations decide.
+IncarnationComparison ServerRegister::compare(const RegisteredServer &entry, std::uint64_t incarnation) const
 {
-    if (incarnation == 0 || known.incarnation == 0 || incarnation == known.incarnation) {
-        return IncarnationNews::Same;
+    if (incarnation == 0 || entry.incarnation == 0 || incarnation == entry.incarnation) {
+        return IncarnationComparison::Same;
     }
-    const auto earlier = m_earlierIncarnations.find(known.id);
+    const auto earlier = m_earlierIncarnations.find(entry.id);
     const bool isEarlier
         = earlier != m_earlierIncarnations.end() && std::find(earlier->second.begin(), earlier->second.end(), incarnation) != earlier->second.end();
-    return isEarlier ? IncarnationNews::Outdated : IncarnationNews::Restarted;
+    return isEarlier ? IncarnationComparison::Outdated : IncarnationComparison::Restarted;
 }
 
-void ServerRegister::noteRestart(RegisteredServer &known, std::uint64_t incarnation)
+void ServerRegister::applyRestart(RegisteredServer &entry, std::uint64_t incarnation)
 {
-    std::vector<std::uint64_t> &earlier = m_earlierIncarnations[known.id];
-    earlier.push_back(known.incarnation);
-    if (earlier.size() > rememberedIncarnations) {
+    std::vector<std::uint64_t> &earlier = m_earlierIncarnations[entry.id];
+    earlier.push_back(entry.incarnation);
+    if (earlier.size() > maxEarlierIncarnations) {
         earlier.erase(earlier.begin());
     }
-    known.incarnation = incarnation;
-    known.isLeaving = false;
+    entry.incarnation = incarnation;
+    entry.isLeaving = false;
     ++m_revision;
 }
 
-IncarnationNews ServerRegister::noteIncarnation(const std::string &id, std::uint64_t incarnation)
+IncarnationComparison ServerRegister::updateIncarnation(const std::string &id, std::uint64_t incarnation)
 {
     const auto found = m_servers.find(id);
     if (found == m_servers.end()) {
-        return IncarnationNews::Same;
-    }
-    RegisteredServer &known = found->second;
-    const IncarnationNews news = compare(known, incarnation);
-    if (news == IncarnationNews::Restarted) {
-        noteRestart(known, incarnation);
-    } else if (known.incarnation == 0 && incarnation != 0) {
-        known.incarnation = incarnation;
+        return IncarnationComparison::Same;
+    }
+    RegisteredServer &entry = found->second;
+    const IncarnationComparison comparison = compare(entry, incarnation);
+    if (comparison == IncarnationComparison::Restarted) {
+        applyRestart(entry, incarnation);
+    } else if (entry.incarnation == 0 && incarnation != 0) {
+        entry.incarnation = incarnation;
         ++m_revision;
     }
-    return news;
+    return comparison;
 }
 
-bool ServerRegister::isDoubtful(Core::TimePoint now) const
+bool ServerRegister::mayHaveExpired(Core::TimePoint now) const
 {
-    return m_isStoreLost || now < m_lapseDeadline;
+    return m_isStoreLost || now < m_graceDeadline;
 }
 
-void ServerRegister::noteStoreLost()
+void ServerRegister::markStoreLost()
 {
     m_isStoreLost = true;
 }
 
-void ServerRegister::noteStoreRegained(Core::TimePoint lapseDeadline)
+void ServerRegister::markStoreRegained(Core::TimePoint graceDeadline)
 {
     m_isStoreLost = false;
-    m_lapseDeadline = lapseDeadline;
-    for (auto &[id, deadline] : m_lapsed) {
-        deadline = std::min(deadline, lapseDeadline);
+    m_graceDeadline = graceDeadline;
+    for (auto &[id, deadline] : m_missing) {
+        deadline = std::min(deadline, graceDeadline);
     }
 }
 
-void ServerRegister::noteWeights(const std::string &id, const std::string &model, std::uint64_t version)
+void ServerRegister::updateWeights(const std::string &id, const std::string &model, std::uint64_t version)
 {
     const auto found = m_servers.find(id);
     if (found == m_servers.end()) {
@@ -158,24 +158,24 @@
     }
 }
 
-void ServerRegister::noteReplaced(const std::string &id)
+void ServerRegister::markReplaced(const std::string &id)
 {
     if (m_servers.contains(id)) {
-        forget(id);
+        removeEntry(id);
     }
 }
 
 bool ServerRegister::expire(Core::TimePoint now)
 {
     const std::uint64_t before = m_revision;
-    for (auto entry = m_lapsed.begin(); entry != m_lapsed.end();) {
+    for (auto entry = m_missing.begin(); entry != m_missing.end();) {
         if (now < entry->second) {
             ++entry;
             continue;
         }
         const std::string id = entry->first;
         ++entry;
-        forget(id);
+        removeEntry(id);
     }
     return m_revision != before;
 }
--- a/src/libs/decisions/relay/serverregister.h
+++ b/src/libs/decisions/relay/serverregister.h
@@ -19,78 +19,78 @@
     bool operator==(const ServedWeights &) const = default;
 };
 
-/// \brief A backend server as it registered itself.
+/// \brief A backend server, as described by its own entry in the register.
 struct RegisteredServer
 {
-    std::string id; ///< Kept over a restart at times; see incarnation.
+    std::string id; ///< Id, which may stay the same over a restart; see incarnation.
     std::string service;
     std::string address; ///< IP number and port.
     std::string failureDomain;
-    std::uint32_t slots = 0; ///< Requests that it runs at once.
+    std::uint32_t slots = 0; ///< Number of requests that it runs at once.
     bool isLeaving = false;
-    std::vector<ServedWeights> weights; ///< Empty for a plain service.
-    std::uint64_t incarnation = 0; ///< Tells one start of it from another; 0 if it does not say. Larger is not later.
+    std::vector<ServedWeights> weights; ///< Served weights; empty for a plain service.
+    std::uint64_t incarnation = 0; ///< Identifies one start of the server; 0 if it does not report one. A larger number is not a later start.
 
     bool operator==(const RegisteredServer &) const = default;
 };
 
-/// \brief What the incarnation that a message names says of its sender.
-enum class IncarnationNews {
-    Same, ///< The start that is known, or nobody says which one it is.
-    Restarted, ///< Another start than the one that was known: nothing of before holds.
-    Outdated, ///< A start that was followed by another one already: the message is late.
+/// \brief Result of comparing the incarnation named in a message with the recorded one.
+enum class IncarnationComparison {
+    Same, ///< The recorded incarnation, or one of the two is unknown.
+    Restarted, ///< A new incarnation: what was recorded before is no longer valid.
+    Outdated, ///< An incarnation that has already been replaced by another one: the message is late.
 };
 
-/// \brief Which backend servers there are, from their entries in the store's register and from what they answer.
+/// \brief The backend servers of a deployment, from their entries in the store's register and from their answers.
 ///
-/// Entries lapse while the store is away, although their servers live, and are back within a moment of its return. So an entry that is missing after
-/// an outage is believed for a while longer; one that is removed while the store is well is gone at once.
+/// Entries expire while the store is unavailable, although their servers are alive, and are restored shortly after its return. So an entry that is missing
+/// after an outage remains valid for a grace period; one that is removed while the store is available is removed at once.
 class ServerRegister
 {
 public:
-    /// \brief Takes the whole register in place of what was known before.
+    /// \brief Replaces the whole register with \a servers.
     void replace(const std::vector<RegisteredServer> &servers, Core::TimePoint now);
 
-    /// \brief Takes one entry that was added or changed.
-    void put(const RegisteredServer &server);
+    /// \brief Adds or updates one entry.
+    void set(const RegisteredServer &server);
 
-    /// \brief Takes the removal of the entry of \a id.
+    /// \brief Handles the removal of the entry of \a id from the store.
     void remove(const std::string &id, Core::TimePoint now);
 
-    /// \brief The store did not answer: what it removes meanwhile proves nothing.
-    void noteStoreLost();
+    /// \brief Marks the store as unavailable: entries that it loses meanwhile may still be valid.
+    void markStoreLost();
 
-    /// \brief The store answers again; entries that are not back by \a lapseDeadline are gone.
-    void noteStoreRegained(Core::TimePoint lapseDeadline);
+    /// \brief Marks the store as available again; entries that are not restored by \a graceDeadline are removed.
+    void markStoreRegained(Core::TimePoint graceDeadline);
 
-    /// \brief The backend server \a id named its incarnation; after a restart its weights are those that its entry says.
-    IncarnationNews noteIncarnation(const std::string &id, std::uint64_t incarnation);
+    /// \brief Updates the incarnation of the backend server \a id; after a restart its weights are those of its entry.
+    IncarnationComparison updateIncarnation(const std::string &id, std::uint64_t incarnation);
 
-    /// \brief A backend server answered with \a version of \a model, which counts more than its entry.
-    void noteWeights(const std::string &id, const std::string &model, std::uint64_t version);
+    /// \brief Updates the weights of a backend server that answered with \a version of \a model; an answer takes precedence over its entry.
+    void updateWeights(const std::string &id, const std::string &model, std::uint64_t version);
 
-    /// \brief A backend server said that it is not the one of this id any more.
-    void noteReplaced(const std::string &id);
+    /// \brief Removes the backend server \a id, which answered that it no longer has this id.
+    void markReplaced(const std::string &id);
 
-    /// \brief Forgets the entries whose time has run out; returns whether there were any.
+    /// \brief Removes the entries whose grace period has ended; returns whether there were any.
     bool expire(Core::TimePoint now);
 
-    /// \brief All backend servers that may be there, by id.
+    /// \brief Returns all backend servers that may exist, by id.
     const std::map<std::string, RegisteredServer> &servers() const;
 
-    /// \brief Goes up whenever servers() gives something else.
+    /// \brief Returns a number that increases whenever servers() changes.
     std::uint64_t revision() const;
 
 private:
-    bool isDoubtful(Core::TimePoint now) const;
-    void forget(const std::string &id);
-    IncarnationNews compare(const RegisteredServer &known, std::uint64_t incarnation) const;
-    void noteRestart(RegisteredServer &known, std::uint64_t incarnation);
+    bool mayHaveExpired(Core::TimePoint now) const;
+    void removeEntry(const std::string &id);
+    IncarnationComparison compare(const RegisteredServer &entry, std::uint64_t incarnation) const;
+    void applyRestart(RegisteredServer &entry, std::uint64_t incarnation);
 
     std::map<std::string, RegisteredServer> m_servers;
-    std::map<std::string, std::vector<std::uint64_t>> m_earlierIncarnations; ///< By id, the latest ones.
-    std::map<std::string, Core::TimePoint> m_lapsed; ///< Entries that are missing, and until when they are believed.
-    Core::TimePoint m_lapseDeadline{}; ///< Until then a missing entry may have lapsed in an outage.
+    std::map<std::string, std::vector<std::uint64_t>> m_earlierIncarnations; ///< Latest earlier incarnations by id.
+    std::map<std::string, Core::TimePoint> m_missing; ///< Missing entries, and the end of their grace period.
+    Core::TimePoint m_graceDeadline{}; ///< Until then a missing entry may have expired in an outage.
     bool m_isStoreLost = false;
     std::uint64_t m_revision = 0;
 };
--- a/src/libs/decisions/relay/weightschoice.cpp
+++ b/src/libs/decisions/relay/weightschoice.cpp
@@ -6,62 +6,64 @@
 
 namespace {
 
-// More would only matter if a version were still in use after so many newer ones.
-constexpr std::size_t rememberedVersions = 32;
+// Older announcements would matter only if a version were still in use after this many newer ones.
+constexpr std::size_t maxAnnouncements = 32;
 
-// How much more than its part a newer group gets: backend servers run at less than half of what they can bear on most days.
+// Factor by which the share of requests of newer weights exceeds their share of the backend servers, which run at less than half of their capacity on most
+// days.
 constexpr double newerPreference = 1.5;
 
-// From the choice until the engine begins: the way, and a few long prompts that other routers send there in the same moment. An engine that comes back with
-// old weights while others are busy gets as many at once.
-constexpr std::chrono::milliseconds useMargin{1200};
+// Time from the choice until the engine starts the request: network latency, and a few long prompts that other routers send to it at the same time. An engine
+// that comes back with old weights while others are busy gets as many at once.
+constexpr std::chrono::milliseconds startMargin{1200};
 
-constexpr std::uint64_t drawScale = 1'000'000;
+constexpr std::uint64_t randomScale = 1'000'000;
 
 bool mayBeUsed(std::uint64_t version, const WeightsHistory &history, const WeightsLimits &limits, Core::TimePoint now)
 {
-    const std::optional<Core::TimePoint> until = begunUntil(version, history, limits);
-    return !until.has_value() || now < *until - useMargin;
+    const std::optional<Core::TimePoint> until = latestStart(version, history, limits);
+    return !until.has_value() || now < *until - startMargin;
 }
 
 } // namespace
 
-// The moment is that of the naming and not of the news, or a process that starts late would grant old weights all their time once more.
-bool WeightsHistory::note(std::uint64_t version, Core::TimePoint at)
+// The time must be that of the announcement, not of its receipt. Otherwise a process that starts late would grant old weights their full time again.
+bool WeightsHistory::record(std::uint64_t version, Core::TimePoint at)
 {
-    const bool isNews = version > newest();
-    const auto isBelow = [](const Named &named, std::uint64_t one) {
-        return named.version < one;
+    const bool isNewer = version > newest();
+    const auto isBelow = [](const Announcement &announcement, std::uint64_t one) {
+        return announcement.version < one;
     };
-    const auto place = std::lower_bound(m_named.begin(), m_named.end(), version, isBelow);
-    if (place != m_named.end() && place->version == version) {
+    const auto place = std::lower_bound(m_announcements.begin(), m_announcements.end(), version, isBelow);
+    if (place != m_announcements.end() && place->version == version) {
         place->at = at;
         return false;
     }
-    m_named.insert(place, {version, at});
-    if (m_named.size() > rememberedVersions) {
-        m_named.erase(m_named.begin());
+    m_announcements.insert(place, {version, at});
+    if (m_announcements.size() > maxAnnouncements) {
+        m_announcements.erase(m_announcements.begin());
     }
-    return isNews;
+    return isNewer;
 }
 
 std::uint64_t WeightsHistory::newest() const
 {
-    return m_named.empty() ? 0 : m_named.back().version;
+    return m_announcements.empty() ? 0 : m_announcements.back().version;
 }
 
-Core::TimePoint WeightsHistory::newestSince() const
+Core::TimePoint WeightsHistory::newestAnnouncedAt() const
 {
-    return m_named.empty() ? Core::TimePoint() : m_named.back().at;
+    return m_announcements.empty() ? Core::TimePoint() : m_announcements.back().at;
 }
 
 std::optional<Core::TimePoint> WeightsHistory::outdatedSince(std::uint64_t version) const
 {
-    const auto newer = std::find_if(m_named.begin(), m_named.end(), [version](const Named &named) { return named.version > version; });
-    return newer == m_named.end() ? std::nullopt : std::optional(newer->at);
+    const auto newer
+        = std::find_if(m_announcements.begin(), m_announcements.end(), [version](const Announcement &announcement) { return announcement.version > version; });
+    return newer == m_announcements.end() ? std::nullopt : std::optional(newer->at);
 }
 
-std::optional<Core::TimePoint> begunUntil(std::uint64_t version, const WeightsHistory &history, const WeightsLimits &limits)
+std::optional<Core::TimePoint> latestStart(std::uint64_t version, const WeightsHistory &history, const WeightsLimits &limits)
 {
     const std::optional<Core::TimePoint> since = history.outdatedSince(version);
     return since.has_value() ? std::optional(*since + limits.longestUse) : std::nullopt;
@@ -79,8 +81,11 @@
     return usable;
 }
 
-std::optional<std::uint64_t> chooseWeights(
-    const std::map<std::uint64_t, std::size_t> &servers, const WeightsHistory &history, const WeightsLimits &limits, Core::TimePoint now, std::uint64_t draw)
+std::optional<std::uint64_t> chooseWeights(const std::map<std::uint64_t, std::size_t> &servers,
+    const WeightsHistory &history,
+    const WeightsLimits &limits,
+    Core::TimePoint now,
+    std::uint64_t randomValue)
 {
     const std::vector<std::uint64_t> usable = usableWeights(servers, history, limits, now);
     double left = 0;
@@ -88,7 +93,7 @@
         left += static_cast<double>(servers.at(version));
     }
     std::optional<std::uint64_t> chosen;
-    double place = static_cast<double>(draw % drawScale) / static_cast<double>(drawScale);
+    double place = static_cast<double>(randomValue % randomScale) / static_cast<double>(randomScale);
     for (const std::uint64_t version : usable) {
         const auto count = static_cast<double>(servers.at(version));
         chosen = version;
--- a/src/libs/decisions/relay/weightsrecord.cpp
+++ b/src/libs/decisions/relay/weightsrecord.cpp
@@ -7,11 +7,11 @@
 
 namespace {
 
-// Namings that are kept. Weights may be used for seconds after newer ones were named, and an engine takes half a second and more to load.
-constexpr std::size_t mostNamings = 16;
+// Maximum number of entries. Weights may be used for seconds after newer ones were announced, and an engine takes half a second or more to load.
+constexpr std::size_t maxEntries = 16;
 
-// Milliseconds of the store's clock: a hundred years. Beyond it a row is garbled, and would not fit the clocks of hosts.
-constexpr std::int64_t lastMoment = 3'155'760'000'000;
+// Maximum time in milliseconds of the store's clock: a hundred years. A larger number means a corrupt row, and would overflow the clocks of hosts.
+constexpr std::int64_t latestTime = 3'155'760'000'000;
 
 } // namespace
 
@@ -23,12 +23,15 @@
     while (std::getline(lines, line)) {
         std::istringstream words(line);
         DatedWeights dated;
-        std::int64_t moment = 0;
-        if (!(words >> dated.after >> dated.version >> moment) || dated.after >= dated.version || moment < 0 || moment > lastMoment) {
-            return Core::Error{Core::ErrorCode::InvalidArgument, "weights.record", "", "A line does not say which versions were named after which moment."};
+        std::int64_t milliseconds = 0;
+        if (!(words >> dated.after >> dated.version >> milliseconds) || dated.after >= dated.version || milliseconds < 0 || milliseconds > latestTime) {
+            return Core::Error{Core::ErrorCode::InvalidArgument,
+                "weights.record",
+                "",
+                "A line is not of the form: after version milliseconds, with after < version and a valid store time."};
         }
-        dated.notBefore = Store::StoreTime(std::chrono::milliseconds(moment));
-        record.note(dated);
+        dated.notBefore = Store::StoreTime(std::chrono::milliseconds(milliseconds));
+        record.add(dated);
     }
     return record;
 }
@@ -36,43 +39,43 @@
 std::string WeightsRecord::encode() const
 {
     std::ostringstream lines;
-    for (const DatedWeights &dated : m_namings) {
+    for (const DatedWeights &dated : m_entries) {
         lines << dated.after << ' ' << dated.version << ' ' << dated.notBefore.time_since_epoch().count() << '\n';
     }
     return lines.str();
 }
 
-void WeightsRecord::note(const DatedWeights &dated)
+void WeightsRecord::add(const DatedWeights &dated)
 {
-    const auto isBelow = [](const DatedWeights &known, std::uint64_t version) {
-        return known.version < version;
+    const auto isBelow = [](const DatedWeights &entry, std::uint64_t version) {
+        return entry.version < version;
     };
-    const auto place = std::lower_bound(m_namings.begin(), m_namings.end(), dated.version, isBelow);
-    if (place == m_namings.end() || place->version != dated.version) {
-        m_namings.insert(place, dated);
+    const auto place = std::lower_bound(m_entries.begin(), m_entries.end(), dated.version, isBelow);
+    if (place == m_entries.end() || place->version != dated.version) {
+        m_entries.insert(place, dated);
     } else if (place->notBefore < dated.notBefore) {
         *place = dated;
     }
-    if (m_namings.size() > mostNamings) {
-        m_namings.erase(m_namings.begin());
+    if (m_entries.size() > maxEntries) {
+        m_entries.erase(m_entries.begin());
     }
 }
 
 void WeightsRecord::merge(const WeightsRecord &other)
 {
-    for (const DatedWeights &dated : other.m_namings) {
-        note(dated);
+    for (const DatedWeights &dated : other.m_entries) {
+        add(dated);
     }
 }
 
-bool WeightsRecord::knows(std::uint64_t version) const
+bool WeightsRecord::contains(std::uint64_t version) const
 {
-    return std::any_of(m_namings.begin(), m_namings.end(), [version](const DatedWeights &dated) { return dated.version == version; });
+    return std::any_of(m_entries.begin(), m_entries.end(), [version](const DatedWeights &dated) { return dated.version == version; });
 }
 
-const std::vector<DatedWeights> &WeightsRecord::namings() const
+const std::vector<DatedWeights> &WeightsRecord::entries() const
 {
-    return m_namings;
+    return m_entries;
 }
 
 } // namespace Verbena::Decisions
--- a/src/libs/decisions/relay/weightsrecord.h
+++ b/src/libs/decisions/relay/weightsrecord.h
@@ -9,7 +9,7 @@
 
 namespace Verbena::Decisions {
 
-/// \brief That all versions of a model's weights above one, up to another, were named later than a moment.
+/// \brief States that all versions of a model's weights above \a after, up to \a version, were announced at or after \a notBefore.
 struct DatedWeights
 {
     std::uint64_t after = 0;
@@ -17,32 +17,32 @@
     Store::StoreTime notBefore;
 };
 
-/// \brief When versions of one model's weights were named, as it is written into the store for processes that start later.
+/// \brief The times at which versions of one model's weights were announced, stored for processes that start later.
 ///
-/// Operators write no date with a version, and a process that has just started cannot tell a naming of a moment ago from one of an hour ago. Without the
-/// record it would either use weights that are too old or none but the newest.
+/// Operators write no date with a version, and a process that has just started cannot distinguish an announcement made just now from one made an hour ago.
+/// Without the record it would use either weights that are too old or none but the newest.
 class WeightsRecord
 {
 public:
-    /// \brief Reads a row's value. Errors: InvalidArgument.
+    /// \brief Parses the value of a row. Errors: InvalidArgument.
     static Core::Result<WeightsRecord> decode(const std::string &text);
 
     std::string encode() const;
 
-    /// \brief Adds \a dated; of two dates of one version the later one counts, as both are proved.
-    void note(const DatedWeights &dated);
+    /// \brief Adds \a dated; of two times for one version the later one counts, as both are proven lower bounds.
+    void add(const DatedWeights &dated);
 
-    /// \brief Adds all that \a other knows.
+    /// \brief Adds all entries of \a other.
     void merge(const WeightsRecord &other);
 
-    /// \brief Whether it says when \a version was named.
-    bool knows(std::uint64_t version) const;
+    /// \brief Returns whether there is an entry for \a version.
+    bool contains(std::uint64_t version) const;
 
-    /// \brief The latest namings, by rising version.
-    const std::vector<DatedWeights> &namings() const;
+    /// \brief Returns the latest announcements, by increasing version.
+    const std::vector<DatedWeights> &entries() const;
 
 private:
-    std::vector<DatedWeights> m_namings;
+    std::vector<DatedWeights> m_entries;
 };
 
 } // namespace Verbena::Decisions
--- a/src/libs/relay/cachewatch.cpp
+++ b/src/libs/relay/cachewatch.cpp
@@ -114,7 +114,7 @@
         m_index.clear();
     }
     for (const Decisions::PartEvent &event : news.value().events) {
-        m_index.take(event);
+        m_index.apply(event);
     }
     m_next = news.value().next;
     m_isFollowing = true;
--- a/src/libs/relay/deploymentfeed.cpp
+++ b/src/libs/relay/deploymentfeed.cpp
@@ -166,7 +166,7 @@
     m_refused.forget(server.id);
     Decisions::ServerRegister &servers = m_relay.fleet().servers();
     const std::uint64_t before = servers.revision();
-    servers.put(server);
+    servers.set(server);
     if (servers.revision() != before) {
         Observe::log(serverChanged,
             {{"server", server.id},
@@ -182,7 +182,7 @@
 {
     m_report.lost(table, error);
     if (table == m_serversTable) {
-        m_relay.fleet().servers().noteStoreLost();
+        m_relay.fleet().servers().markStoreLost();
     }
 }
 
@@ -191,7 +191,7 @@
     m_report.regained(table);
     if (table == m_serversTable) {
         const Core::TimePoint lapseDeadline = m_loop.now() + lapseTime;
-        m_relay.fleet().servers().noteStoreRegained(lapseDeadline);
+        m_relay.fleet().servers().markStoreRegained(lapseDeadline);
         m_lapseTimer.startAt(lapseDeadline);
     }
 }
--- a/src/libs/relay/enginewatch.cpp
+++ b/src/libs/relay/enginewatch.cpp
@@ -61,7 +61,7 @@
 
 void EngineWatch::ask()
 {
-    m_turns.follow(m_relay.fleet().weightsGoals());
+    m_turns.update(m_relay.fleet().weightsGoals());
     for (const auto &[id, server] : m_relay.fleet().servers().servers()) {
         auto agent = Http::Endpoint::parse(server.address);
         if (server.weights.empty() || !agent) {
@@ -78,13 +78,13 @@
     verbena::wire::Envelope message;
     verbena::wire::EngineWatch &watch = *message.mutable_engine_watch();
     for (const Decisions::ServedWeights &weights : server.weights) {
-        for (const Decisions::ToldTurn &told : m_turns.turns(weights.model, id, weights.version, m_loop.now())) {
+        for (const Decisions::AnnouncedSlot &told : m_turns.slots(weights.model, id, weights.version, m_loop.now())) {
             verbena::wire::WeightsTurn &entry = *watch.add_turns();
             entry.set_model(weights.model);
             entry.set_version(told.version);
-            entry.set_engines(told.turn.engines);
-            entry.set_before(told.turn.before);
-            entry.set_done(told.turn.done);
+            entry.set_engines(told.slot.engines);
+            entry.set_before(told.slot.position);
+            entry.set_done(told.slot.completed);
             entry.set_named_ago_us(told.age.has_value() ? static_cast<std::uint64_t>(told.age->count()) + 1 : 0);
         }
     }
@@ -105,7 +105,7 @@
             routers.push_back(address);
         }
         m_relay.noteRouters(routers);
-        m_relay.fleet().noteStatus(message.engine_news().address(), statusOf(message.engine_news(), now), now);
+        m_relay.fleet().updateStatus(message.engine_news().address(), statusOf(message.engine_news(), now), now);
     }
 }
 
--- a/src/libs/relay/enginewatch.h
+++ b/src/libs/relay/enginewatch.h
@@ -3,7 +3,7 @@
 #include "peerrows.h"
 #include "relaytask.h"
 
-#include <decisions/relay/weightsturnbook.h>
+#include <decisions/relay/rolloutplan.h>
 #include <eventloop/timer.h>
 #include <wire/datagramsocket.h>
 
@@ -35,7 +35,7 @@
     RelayTask &m_relay;
     PeerRows &m_peers;
     EventLoop::Timer m_timer;
-    Decisions::WeightsTurnBook m_turns;
+    Decisions::RolloutPlan m_turns;
     std::unique_ptr<Wire::DatagramSocket> m_socket;
 };
 
--- a/src/libs/relay/relayedrequest.cpp
+++ b/src/libs/relay/relayedrequest.cpp
@@ -69,7 +69,7 @@
     m_context.waits.withdraw(m_waitNumber);
     m_crashes.end(arrivals());
     if (m_isUnanswered) {
-        m_context.fleet.noteAbandoned(*m_choice);
+        m_context.fleet.recordAbandoned(*m_choice);
     }
     if (!m_isDone) {
         if (!mayHaveRun()) {
@@ -152,7 +152,7 @@
     query.prompt = m_query.prompt.has_value() ? &*m_query.prompt : nullptr;
     query.dedicatedTo = m_organisation != nullptr && m_organisation->isDedicated ? m_organisation->name : "";
     query.excluded = m_excluded;
-    query.draw = m_context.random.next();
+    query.randomValue = m_context.random.next();
     query.latencyTarget = m_route->latencyTarget;
     return query;
 }
@@ -200,7 +200,7 @@
     if (m_attempts.sends > 0 || !choice.expectedWait.has_value()) {
         return false;
     }
-    const auto comeBack = Decisions::refuseUntil({*choice.expectedWait, choice.bearableWait, patience()});
+    const auto comeBack = Decisions::refuseUntil({*choice.expectedWait, choice.acceptableWait, patience()});
     if (!comeBack.has_value()) {
         return false;
     }
@@ -217,7 +217,7 @@
     m_excluded.push_back(choice.serverId);
     ++m_attempts.sends;
     const Core::TimePoint now = m_context.loop.now();
-    m_context.fleet.noteSent(*m_choice, now);
+    m_context.fleet.recordSent(*m_choice, now);
     m_isUnanswered = true;
     Core::Result<std::unique_ptr<BackendCall>> call = Core::Error{Core::ErrorCode::InvalidArgument, "relay.address", choice.address, "No address."};
     const auto endpoint = Http::Endpoint::parse(choice.address);
@@ -235,7 +235,7 @@
         return true;
     }
     m_isUnanswered = false;
-    m_context.fleet.noteTrouble(choice, Decisions::ServerTrouble::Unreachable, now);
+    m_context.fleet.recordFailure(choice, Decisions::ServerFailure::Unreachable, now);
     if (!mayBeSentAgain(m_attempts, CallFailure::NotSent)) {
         finish(finalAction(m_attempts, CallFailure::NotSent));
     }
@@ -268,7 +268,7 @@
         return;
     }
     if (meaning != AnswerMeaning::OfAnotherRequest && marks.weightsVersion.has_value() && m_query.prompt.has_value()) {
-        m_context.fleet.noteWeights(*m_choice, m_query.prompt->model, *marks.weightsVersion);
+        m_context.fleet.updateWeights(*m_choice, m_query.prompt->model, *marks.weightsVersion);
     }
     if (meaning != AnswerMeaning::OfThisRequest) {
         takeFailure(CallFailure::Lost, reasonText(meaning));
@@ -285,11 +285,11 @@
 {
     const bool isOther = !marks.serverId.empty() && marks.serverId != m_choice->serverId;
     if (isOther) {
-        m_context.fleet.noteReplaced(*m_choice);
+        m_context.fleet.markReplaced(*m_choice);
         reportReplaced({m_query.attemptId, m_service, m_choice->serverId, sinceArrival()}, marks.serverId);
     }
     if (marks.weightsVersion.has_value() && m_query.prompt.has_value() && !isOther) {
-        m_context.fleet.noteWeights(*m_choice, m_query.prompt->model, *marks.weightsVersion);
+        m_context.fleet.updateWeights(*m_choice, m_query.prompt->model, *marks.weightsVersion);
     }
     takeFailure(CallFailure::NotRun, marks.isMisdirected ? "another backend server or other weights are there" : "refused");
 }
@@ -347,8 +347,7 @@
 {
     const Core::TimePoint now = m_context.loop.now();
     const bool isMovable = m_route->isResumable && m_cutter.lastId().has_value() && !m_call->isWhole() && mayBeMoved(m_attempts);
-    if (!isMovable || now < m_nextMove || now + leastTimeLeft >= m_deadline || !m_context.fleet.isHeldUpFromLoading(*m_choice, now)
-        || m_crashes.isSuspected()) {
+    if (!isMovable || now < m_nextMove || now + leastTimeLeft >= m_deadline || !m_context.fleet.isWaitingToLoad(*m_choice, now) || m_crashes.isSuspected()) {
         return;
     }
     m_nextMove = now + movePause;
@@ -423,7 +422,7 @@
     if (m_isUnanswered) {
         m_isUnanswered = false;
         const bool isUnreachable = failure == CallFailure::NotSent || failure == CallFailure::Lost;
-        m_context.fleet.noteTrouble(*m_choice, isUnreachable ? Decisions::ServerTrouble::Unreachable : Decisions::ServerTrouble::Full, m_context.loop.now());
+        m_context.fleet.recordFailure(*m_choice, isUnreachable ? Decisions::ServerFailure::Unreachable : Decisions::ServerFailure::Full, m_context.loop.now());
     }
     m_call.reset();
     m_cutter.dropPending();
@@ -598,7 +597,7 @@
     }
     // That it waited says nothing against the engine.
     m_isUnanswered = false;
-    m_context.fleet.noteAbandoned(*m_choice);
+    m_context.fleet.recordAbandoned(*m_choice);
     m_context.metrics.count("calls_called_back_total");
     takeFailure(m_call->hasSent() ? CallFailure::Lost : CallFailure::NotSent, "weights too old before the engine began");
 }
@@ -610,7 +609,7 @@
     }
     m_isUnanswered = false;
     m_weightsTimer.stop();
-    m_context.fleet.noteAnswered(*m_choice, m_context.loop.now());
+    m_context.fleet.recordAnswered(*m_choice, m_context.loop.now());
     if (m_firstPartAfter.count() < 0) {
         m_firstPartAfter = sinceArrival();
     }
--- a/src/libs/relay/relaytask.cpp
+++ b/src/libs/relay/relaytask.cpp
@@ -58,7 +58,7 @@
     , m_shutdownTimer(loop, [this] { continueShutdown(); })
 {
     m_lifeTimer.startAt(loop.now() + lifePeriod);
-    m_fleet.setNamingObserver([this] { followWeights(); });
+    m_fleet.setAnnouncementObserver([this] { followWeights(); });
 }
 
 RelayTask::~RelayTask() = default;
--- a/src/libs/relay/requestreport.cpp
+++ b/src/libs/relay/requestreport.cpp
@@ -106,7 +106,7 @@
             {"stored", isChosen ? std::to_string(choice.storedParts) : ""},
             {"waiting", isChosen ? std::to_string(choice.waiting) : ""},
             {"expected_wait_ms", text(choice.expectedWait)},
-            {"news_ms", text(choice.newsAge)},
+            {"news_ms", text(choice.reportAge)},
             {"sends", std::to_string(report.sends)},
             {"sent_ms", report.sends > 0 ? text(duration_cast<milliseconds>(choice.sentAt - report.arrival)) : ""},
             {"first_ms", text(report.firstPartAfter)},
--- a/src/libs/relay/weightsnamings.cpp
+++ b/src/libs/relay/weightsnamings.cpp
@@ -57,7 +57,7 @@
         return;
     }
     if (row.committedAfter.has_value()) {
-        model.record.note({model.newest, weights.version, *row.committedAfter});
+        model.record.add({model.newest, weights.version, *row.committedAfter});
     }
     model.newest = weights.version;
     model.giveUpTime = m_loop.now() + m_longestUse;
@@ -83,10 +83,10 @@
 
 std::optional<milliseconds> WeightsNamings::age(const Model &model) const
 {
-    if (!model.record.knows(model.newest)) {
+    if (!model.record.contains(model.newest)) {
         return std::nullopt;
     }
-    return m_clock.age(model.record.namings().back().notBefore, Core::BootClock::now());
+    return m_clock.age(model.record.entries().back().notBefore, Core::BootClock::now());
 }
 
 // Between two namings of the record there may have been others of which nobody knows when: the versions below are taken for too old.
@@ -95,16 +95,16 @@
     const Core::TimePoint now = m_loop.now();
     const Core::BootTime bootNow = Core::BootClock::now();
     std::uint64_t before = 0;
-    for (const Decisions::DatedWeights &dated : model.record.namings()) {
+    for (const Decisions::DatedWeights &dated : model.record.entries()) {
         if (dated.after > before) {
-            m_relay.fleet().noteWeightsNamed(name, dated.after, Core::TimePoint::min());
+            m_relay.fleet().recordWeightsAnnouncement(name, dated.after, Core::TimePoint::min());
         }
         const std::optional<milliseconds> old = m_clock.age(dated.notBefore, bootNow);
-        m_relay.fleet().noteWeightsNamed(name, dated.version, old.has_value() ? now - *old : Core::TimePoint::min());
+        m_relay.fleet().recordWeightsAnnouncement(name, dated.version, old.has_value() ? now - *old : Core::TimePoint::min());
         before = dated.version;
     }
     if (before < model.newest) {
-        m_relay.fleet().noteWeightsNamed(name, model.newest, Core::TimePoint::min());
+        m_relay.fleet().recordWeightsAnnouncement(name, model.newest, Core::TimePoint::min());
     }
 }
 
@@ -160,9 +160,9 @@
     if (!row) {
         Observe::log(weightsRecordFailed, row.error(), {{"model", name}});
     } else if (row.value().has_value()) {
-        isRecorded = mergeRow(name, model, *row.value()).knows(model.newest);
+        isRecorded = mergeRow(name, model, *row.value()).contains(model.newest);
     }
-    if (model.record.knows(model.newest)) {
+    if (model.record.contains(model.newest)) {
         // A date of its own that the record lacks, though perhaps too early, is better than none for who starts later.
         model.step = row && !isRecorded ? Step::Write : Step::Nothing;
         Observe::log(weightsDated, {{"model", name}, {"version", std::to_string(model.newest)}, {"age_ms", text(age(model))}});
@@ -204,7 +204,7 @@
     }
     // Another router was faster, or recorded an earlier version meanwhile.
     for (const Store::TableRow &row : answer.current) {
-        isRecorded = mergeRow(name, model, row).knows(version) || isRecorded;
+        isRecorded = mergeRow(name, model, row).contains(version) || isRecorded;
     }
     if (isRecorded && model.newest == version) {
         model.step = Step::Nothing;
--- a/src/libs/weights/weightsfailover.cpp
+++ b/src/libs/weights/weightsfailover.cpp
@@ -164,7 +164,7 @@
         return;
     }
     if (weights->version >= engine.version) {
-        m_fleet.servers().noteWeights(engine.id, engine.model, weights->version);
+        m_fleet.servers().updateWeights(engine.id, engine.model, weights->version);
         Observe::log(weightsInPlace, {{"engine", engine.address}, {"model", engine.model}, {"version", std::to_string(weights->version)}});
     } else if (!report.value().isCarryingOutOrder) {
         m_failover.noteAlive(engine.address, m_loop.now());
--- a/src/libs/weights/weightsfailover.h
+++ b/src/libs/weights/weightsfailover.h
@@ -18,7 +18,7 @@
 struct FailoverSettings
 {
     std::string host; ///< Name of this host, which signs the orders.
-    Decisions::WeightsPace pace;
+    Decisions::RolloutOptions pace;
     Decisions::OrderLeaseOptions lease;
     std::uint64_t seed = 0;
 };
--- a/src/libs/weights/weightskeeper.cpp
+++ b/src/libs/weights/weightskeeper.cpp
@@ -50,7 +50,7 @@
     return std::to_string(std::chrono::duration_cast<milliseconds>(time).count());
 }
 
-Decisions::WeightsNaming namingOf(const verbena::wire::WeightsTurn &told, Core::TimePoint now)
+Decisions::WeightsAnnouncement namingOf(const verbena::wire::WeightsTurn &told, Core::TimePoint now)
 {
     if (told.named_ago_us() == 0) {
         return {Core::TimePoint::min(), now};
@@ -127,7 +127,7 @@
     takeDeclarations(table, page, {m_loop.now(), m_loop.now()});
 }
 
-void WeightsKeeper::takeDeclarations(const std::string &table, const Store::RowPage &page, const Decisions::WeightsNaming &naming)
+void WeightsKeeper::takeDeclarations(const std::string &table, const Store::RowPage &page, const Decisions::WeightsAnnouncement &naming)
 {
     if (page.clock.has_value()) {
         m_storeClock.note(*page.clock);
@@ -146,10 +146,10 @@
 }
 
 // The row may have been written a while before it was told, for instance while the store was away.
-Decisions::WeightsNaming WeightsKeeper::dated(const Decisions::WeightsNaming &naming, const Store::TableRow &row) const
+Decisions::WeightsAnnouncement WeightsKeeper::dated(const Decisions::WeightsAnnouncement &naming, const Store::TableRow &row) const
 {
     const auto age = row.committedAfter.has_value() ? m_storeClock.age(*row.committedAfter, Core::BootClock::now()) : std::nullopt;
-    return age.has_value() ? Decisions::WeightsNaming{naming.learnedAt - *age, naming.learnedAt} : naming;
+    return age.has_value() ? Decisions::WeightsAnnouncement{naming.receivedAt - *age, naming.receivedAt} : naming;
 }
 
 void WeightsKeeper::sourceLost(const std::string &table, const Core::Error &error)
@@ -183,13 +183,13 @@
 // Routers that started in the middle, or were late, may tell a later turn than others; the earliest one counts.
 void WeightsKeeper::takeTurn(const verbena::wire::WeightsTurn &told)
 {
-    const Decisions::WeightsTurn turn{told.engines(), told.before(), told.done()};
-    const Decisions::WeightsNaming naming = namingOf(told, m_loop.now());
+    const Decisions::RolloutSlot turn{told.engines(), told.before(), told.done()};
+    const Decisions::WeightsAnnouncement naming = namingOf(told, m_loop.now());
     const bool isNews = takeNamed({told.model(), told.version()});
     const Target &target = m_targets[told.model()];
     if (isNews && turn.engines == 0) {
         plan(told.model(), naming);
-    } else if (isNews || (isOutOfDate(told.model(), told.version()) && !target.isOrdered && bringsForward(turn, m_settings.pace, naming, target.loadTime))) {
+    } else if (isNews || (isOutOfDate(told.model(), told.version()) && !target.isOrdered && isEarlierSlot(turn, m_settings.pace, naming, target.loadTime))) {
         planTurn(told.model(), naming, turn);
     }
 }
@@ -239,29 +239,29 @@
     });
 }
 
-void WeightsKeeper::plan(const std::string &model, const Decisions::WeightsNaming &naming)
+void WeightsKeeper::plan(const std::string &model, const Decisions::WeightsAnnouncement &naming)
 {
     const auto take = [this, model, naming](const Core::Result<Store::RowPage> &page) {
         planAmong(model, naming, page);
     };
-    m_rows.readTable(m_decoder.tables().servers, naming.learnedAt + storeAnswerTime, m_lifetime.guard(take));
+    m_rows.readTable(m_decoder.tables().servers, naming.receivedAt + storeAnswerTime, m_lifetime.guard(take));
 }
 
-void WeightsKeeper::planAmong(const std::string &model, const Decisions::WeightsNaming &naming, const Core::Result<Store::RowPage> &page)
+void WeightsKeeper::planAmong(const std::string &model, const Decisions::WeightsAnnouncement &naming, const Core::Result<Store::RowPage> &page)
 {
     if (!page) {
-        planTurn(model, naming, Decisions::drawnWeightsTurn(m_settings.engineAddress, m_targets[model].version));
+        planTurn(model, naming, Decisions::hashedRolloutSlot(m_settings.engineAddress, m_targets[model].version));
         return;
     }
     std::string self;
     const std::vector<Decisions::WeightsHolder> holders = holdersOf(model, m_decoder.tables().servers, page.value(), m_decoder, m_settings.engineAddress, self);
-    const auto turns = Decisions::weightsTurns(holders, m_targets[model].version);
+    const auto turns = Decisions::rolloutSlots(holders, m_targets[model].version);
     const auto own = turns.find(self);
     // An engine that is not registered serves nobody who would lose by a load at once.
-    planTurn(model, naming, own == turns.end() ? Decisions::WeightsTurn() : own->second);
+    planTurn(model, naming, own == turns.end() ? Decisions::RolloutSlot() : own->second);
 }
 
-void WeightsKeeper::planTurn(const std::string &model, const Decisions::WeightsNaming &naming, const Decisions::WeightsTurn &turn)
+void WeightsKeeper::planTurn(const std::string &model, const Decisions::WeightsAnnouncement &naming, const Decisions::RolloutSlot &turn)
 {
     Target &target = m_targets[model];
     target.loadTime = weightsLoadTime(turn, m_settings.pace, naming, target.loadTime);
@@ -270,9 +270,9 @@
         {{"model", model},
             {"version", std::to_string(target.version)},
             {"engines", std::to_string(turn.engines)},
-            {"before", std::to_string(turn.before)},
-            {"done", std::to_string(turn.done)},
-            {"named_ms", naming.isTimeKnown() ? milliText(now - naming.at) : ""},
+            {"before", std::to_string(turn.position)},
+            {"done", std::to_string(turn.completed)},
+            {"named_ms", naming.isTimeKnown() ? milliText(now - naming.announcedAt) : ""},
             {"in_ms", milliText(std::max(target.loadTime, now) - now)}});
     // Routers learn of the plan at once.
     lookAt(m_loop.now());
@@ -390,7 +390,7 @@
             next = std::min(next, target->second.loadTime);
             continue;
         }
-        if (Decisions::mayRunsFinish(report.running, target->second.loadTime, now)) {
+        if (Decisions::mayDeferLoad(report.running, target->second.loadTime, now)) {
             return now + runsPeriod;
         }
         order(weights.model, target->second.version, report.acceptedOrders);
--- a/src/libs/weights/weightskeeper.h
+++ b/src/libs/weights/weightskeeper.h
@@ -24,7 +24,7 @@
 {
     std::string host; ///< Name of this host, which signs the orders.
     std::string engineAddress; ///< As the register names it.
-    Decisions::WeightsPace pace;
+    Decisions::RolloutOptions pace;
     Decisions::OrderLeaseOptions lease;
     std::chrono::milliseconds declarationTime{2000}; ///< Within it a change of what operators declare has to be known.
 };
@@ -66,17 +66,17 @@
     void sourceRegained(const std::string &table) override;
     void tableVerified(const std::string &table, Store::StoreTime verifiedAt, std::uint64_t coveredRevision) override;
     void answerRefused(const std::string &table, const Store::RefusedAnswer &answer) override;
-    void takeDeclarations(const std::string &table, const Store::RowPage &page, const Decisions::WeightsNaming &naming);
-    Decisions::WeightsNaming dated(const Decisions::WeightsNaming &naming, const Store::TableRow &row) const;
+    void takeDeclarations(const std::string &table, const Store::RowPage &page, const Decisions::WeightsAnnouncement &naming);
+    Decisions::WeightsAnnouncement dated(const Decisions::WeightsAnnouncement &naming, const Store::TableRow &row) const;
     void takeWatch(const verbena::wire::EngineWatch &watch);
     void followStoreIfUnwatched();
     void takeTurn(const verbena::wire::WeightsTurn &told);
     bool takeNamed(const Relay::NamedWeights &named);
     bool isOutOfDate(const std::string &model, std::uint64_t version) const;
     bool isOwed(const std::string &model, const Target &target) const;
-    void plan(const std::string &model, const Decisions::WeightsNaming &naming);
-    void planTurn(const std::string &model, const Decisions::WeightsNaming &naming, const Decisions::WeightsTurn &turn);
-    void planAmong(const std::string &model, const Decisions::WeightsNaming &naming, const Core::Result<Store::RowPage> &page);
+    void plan(const std::string &model, const Decisions::WeightsAnnouncement &naming);
+    void planTurn(const std::string &model, const Decisions::WeightsAnnouncement &naming, const Decisions::RolloutSlot &turn);
+    void planAmong(const std::string &model, const Decisions::WeightsAnnouncement &naming, const Core::Result<Store::RowPage> &page);
     void look();
     void takeReport(const Core::Result<EngineReport> &report);
     void noteIncarnation(const EngineReport &report);
--- a/tests/auto/relay/tst_cappedrequests.cpp
+++ b/tests/auto/relay/tst_cappedrequests.cpp
@@ -77,7 +77,7 @@
     void start(Verbena::Test::WorkerFake::Answer script)
     {
         m_worker = std::make_unique<Verbena::Test::WorkerFake>(*m_loop, std::move(script));
-        m_relay->fleet().servers().put({"server-1", "s", m_worker->address(), "hall", 6, false, {}});
+        m_relay->fleet().servers().set({"server-1", "s", m_worker->address(), "hall", 6, false, {}});
     }
 
     static WorkerScript answer(const Http::MessageHead &head, const std::string &fields = "Receipt: r\r\n", const std::string &status = "200 OK")
--- a/tests/auto/relay/tst_directory.cpp
+++ b/tests/auto/relay/tst_directory.cpp
@@ -20,7 +20,7 @@
     return route;
 }
 
-// What the pages say, word for word: of a host's routes, the one with the longest prefix that begins the path.
+// Reference implementation, as documented: of the routes of a host, the one with the longest prefix that begins the path.
 const RelayRoute *longestPrefix(const std::vector<RelayRoute> &routes, const std::string &host, const std::string &path)
 {
     const RelayRoute *best = nullptr;
@@ -44,7 +44,7 @@
     });
 }
 
-TEST(RelayDirectoryTest, findsTheRouteThatANaiveSearchFinds)
+TEST(RelayDirectoryTest, findsTheSameRouteAsALinearSearch)
 {
     EXPECT_TRUE(rc::check([] {
         RelayConfiguration configuration;
@@ -71,7 +71,7 @@
     }));
 }
 
-TEST(RelayDirectoryTest, doesNotTakeAPrefixForThePartOfAName)
+TEST(RelayDirectoryTest, matchesPrefixesOnlyAtSlashes)
 {
     RelayConfiguration configuration;
     configuration.routes = {routeFor("one.example", "/wall/")};
@@ -86,14 +86,14 @@
     RelayRoute route = routeFor("one.example", "/");
     route.services = {{"big", 90}, {"small", 10}};
     int small = 0;
-    constexpr int draws = 1000;
-    for (std::uint64_t draw = 0; draw < draws; ++draw) {
-        small += RelayDirectory::service(route, draw * 1000) == "small" ? 1 : 0;
+    constexpr int requests = 1000;
+    for (std::uint64_t randomValue = 0; randomValue < requests; ++randomValue) {
+        small += RelayDirectory::service(route, randomValue * 1000) == "small" ? 1 : 0;
     }
-    EXPECT_EQ(small, draws / 10);
+    EXPECT_EQ(small, requests / 10);
 }
 
-TEST(RelayDirectoryTest, knowsTheHolderOfAKey)
+TEST(RelayDirectoryTest, findsTheOrganisationOfAKey)
 {
     RelayConfiguration configuration;
     configuration.organisations = {{"dams", {"k1", "k2"}, std::nullopt, false}, {"rosters", {"k3"}, 1, true}};
@@ -109,7 +109,7 @@
     return {kind, isRepeatable, runs, 2, 1, false};
 }
 
-TEST(AttemptPolicyTest, neverSendsAgainWhatMayHaveRunAndMayNotRunTwice)
+TEST(AttemptPolicyTest, neverResendsWhatMayHaveRunAndMayNotRunTwice)
 {
     const AttemptState lost = state(RequestKind::NonIdempotent, false, 1);
     EXPECT_FALSE(mayBeSentAgain(lost, CallFailure::Lost));
@@ -119,7 +119,7 @@
     EXPECT_EQ(finalAction(lost, CallFailure::NotSent), AttemptAction::ReportLost);
 }
 
-TEST(AttemptPolicyTest, sendsAgainWhatIsProvedNotToHaveRun)
+TEST(AttemptPolicyTest, resendsWhatProvablyDidNotRun)
 {
     const AttemptState refused = state(RequestKind::NonIdempotent, false, 0);
     EXPECT_TRUE(mayBeSentAgain(refused, CallFailure::NotRun));
@@ -134,7 +134,7 @@
     EXPECT_EQ(finalAction(state(RequestKind::Idempotent, true, 2), CallFailure::ServerError), AttemptAction::PassAnswer);
 }
 
-TEST(AttemptPolicyTest, resumesOnlyStreamsThatMayBeResumedOnceTheyHaveBegun)
+TEST(AttemptPolicyTest, resumesOnlyResumableStreamsAfterTheyHaveStarted)
 {
     AttemptState begun = state(RequestKind::Streaming, true, 1);
     begun.isAnswerBegun = true;
@@ -144,7 +144,7 @@
     EXPECT_FALSE(mayBeSentAgain(begun, CallFailure::Lost));
 }
 
-TEST(AttemptPolicyTest, movesOnlyWhatMayRunOnceMore)
+TEST(AttemptPolicyTest, movesOnlyRequestsThatMayRunAgain)
 {
     AttemptState begun = state(RequestKind::Streaming, true, 0);
     EXPECT_FALSE(mayBeMoved(begun));
--- a/tests/auto/relay/tst_fleet.cpp
+++ b/tests/auto/relay/tst_fleet.cpp
@@ -42,7 +42,7 @@
         : m_fleet(options(), {})
     {
         for (int number = 1; number <= 6; ++number) {
-            m_fleet.servers().put(engine(std::to_string(number)));
+            m_fleet.servers().set(engine(std::to_string(number)));
         }
     }
 
@@ -52,7 +52,7 @@
         query.service = "reader";
         query.route = "r";
         query.prompt = &outline;
-        query.draw = ++m_draw * 7919;
+        query.randomValue = ++m_draw * 7919;
         return query;
     }
 
@@ -66,10 +66,10 @@
 
     static EngineStatus status(std::uint64_t version = 1)
     {
-        EngineStatus news;
-        news.weights = {{"m", version}};
-        news.totalTokens = 100'000;
-        return news;
+        EngineStatus report;
+        report.weights = {{"m", version}};
+        report.totalTokens = 100'000;
+        return report;
     }
 
     RelayFleet m_fleet;
@@ -77,7 +77,7 @@
     std::uint64_t m_draw = 0;
 };
 
-TEST_F(RelayFleetTest, sendsPromptsWithTheSameOpeningToFewEngines)
+TEST_F(RelayFleetTest, sendsPromptsWithTheSamePrefixToFewEngines)
 {
     constexpr int walls = 24;
     constexpr int rounds = 10;
@@ -87,27 +87,27 @@
         auto choice = choose(prompt(wall));
         ASSERT_TRUE(choice.has_value());
         used[wall].insert(choice->serverId);
-        m_fleet.noteSent(*choice, m_now);
+        m_fleet.recordSent(*choice, m_now);
         m_now += 100ms;
-        m_fleet.noteAnswered(*choice, m_now);
+        m_fleet.recordAnswered(*choice, m_now);
     }
     std::size_t engines = 0;
     for (const auto &[wall, servers] : used) {
         engines += servers.size();
     }
-    // By chance alone each wall would meet nearly all six.
+    // With random choices each wall would reach nearly all six engines.
     EXPECT_LE(engines, walls * 2U);
 }
 
-TEST_F(RelayFleetTest, goesWhereTheAgentSaysThatThePromptIsWarm)
+TEST_F(RelayFleetTest, choosesTheEngineWhereThePromptIsReportedWarm)
 {
     for (int number = 1; number <= 6; ++number) {
-        EngineStatus news = status();
-        news.parts.emplace();
+        EngineStatus report = status();
+        report.parts.emplace();
         if (number == 4) {
-            news.parts = {partKey("m@1", "rules"), partKey("m@1", "wall-7")};
+            report.parts = {partKey("m@1", "rules"), partKey("m@1", "wall-7")};
         }
-        m_fleet.noteStatus("10.0.0." + std::to_string(number) + ":8000", news, m_now);
+        m_fleet.updateStatus("10.0.0." + std::to_string(number) + ":8000", report, m_now);
     }
     std::set<std::string> used;
     for (int request = 0; request < 10; ++request) {
@@ -115,18 +115,18 @@
         ASSERT_TRUE(choice.has_value());
         used.insert(choice->serverId);
     }
-    // It is among the candidates whenever it ranks or is drawn; where it is, it wins.
+    // The warm engine is among the candidates whenever it ranks high or is sampled, and then it wins.
     EXPECT_TRUE(used.contains("4"));
 }
 
-TEST_F(RelayFleetTest, neverMixesScopesOfVersionsAndDedicatedOrganisations)
+TEST_F(RelayFleetTest, separatesScopesOfVersionsAndDedicatedOrganisations)
 {
     const auto shared = choose(prompt("wall-7"));
     const auto dedicated = choose(prompt("wall-7"), "council");
     ASSERT_TRUE(shared.has_value() && dedicated.has_value());
     EXPECT_NE(shared->cacheScope, dedicated->cacheScope);
     for (int number = 1; number <= 6; ++number) {
-        m_fleet.servers().noteWeights(std::to_string(number), "m", 2);
+        m_fleet.servers().updateWeights(std::to_string(number), "m", 2);
     }
     const auto later = choose(prompt("wall-7"));
     ASSERT_TRUE(later.has_value());
@@ -134,7 +134,7 @@
     EXPECT_NE(later->cacheScope, shared->cacheScope);
 }
 
-TEST_F(RelayFleetTest, staysAwayFromAnEngineThatLoadsIsAboutToOrIsSilent)
+TEST_F(RelayFleetTest, avoidsEnginesThatLoadAreAboutToOrAreSilent)
 {
     EngineStatus loading = status();
     loading.isLoading = true;
@@ -142,11 +142,11 @@
     planned.loadTime = m_now + 300ms;
     EngineStatus silent = status();
     silent.isSilent = true;
-    m_fleet.noteStatus("10.0.0.1:8000", loading, m_now);
-    m_fleet.noteStatus("10.0.0.2:8000", planned, m_now);
-    m_fleet.noteStatus("10.0.0.3:8000", silent, m_now);
+    m_fleet.updateStatus("10.0.0.1:8000", loading, m_now);
+    m_fleet.updateStatus("10.0.0.2:8000", planned, m_now);
+    m_fleet.updateStatus("10.0.0.3:8000", silent, m_now);
     for (const char *number : {"4", "5", "6"}) {
-        m_fleet.noteStatus(std::string("10.0.0.") + number + ":8000", status(), m_now);
+        m_fleet.updateStatus(std::string("10.0.0.") + number + ":8000", status(), m_now);
     }
     for (int request = 0; request < 100; ++request) {
         const auto choice = choose(prompt("wall", "rules-" + std::to_string(request)));
@@ -160,12 +160,12 @@
     for (int number = 1; number <= 6; ++number) {
         EngineStatus loading = status();
         loading.isLoading = true;
-        m_fleet.noteStatus("10.0.0." + std::to_string(number) + ":8000", loading, m_now);
+        m_fleet.updateStatus("10.0.0." + std::to_string(number) + ":8000", loading, m_now);
     }
     EXPECT_TRUE(choose(prompt("wall-7")).has_value());
 }
 
-TEST_F(RelayFleetTest, staysAwayLongerEachTimeAnEngineCannotBeReached)
+TEST_F(RelayFleetTest, avoidsAnUnreachableEngineLongerEachTime)
 {
     const auto first = choose(prompt("wall-7"));
     ASSERT_TRUE(first.has_value());
@@ -173,8 +173,8 @@
     for (auto passed = 0ms; passed < 10'000ms; passed += 100ms) {
         auto choice = choose(prompt("wall-7"));
         if (choice.has_value() && choice->serverId == first->serverId) {
-            m_fleet.noteSent(*choice, m_now);
-            m_fleet.noteTrouble(*choice, ServerTrouble::Unreachable, m_now);
+            m_fleet.recordSent(*choice, m_now);
+            m_fleet.recordFailure(*choice, ServerFailure::Unreachable, m_now);
             ++failures;
         }
         m_now += 100ms;
@@ -187,7 +187,7 @@
 {
     RegisteredServer leaving = engine("1");
     leaving.isLeaving = true;
-    m_fleet.servers().put(leaving);
+    m_fleet.servers().set(leaving);
     for (int request = 0; request < 60; ++request) {
         const auto choice = choose(prompt("wall", "rules-" + std::to_string(request)), "", {"2", "3"});
         ASSERT_TRUE(choice.has_value());
@@ -195,22 +195,23 @@
     }
 }
 
-// Right after new weights: few engines have them and are cold, the others are warm. A request that would wait too long at the one kind goes to the other.
-TEST_F(RelayFleetTest, goesToOlderWeightsWhereTheNewOnesHaveALongQueue)
+// Right after an announcement few engines have the new weights and are cold, and the others are warm. A request that would wait too long at one kind goes to
+// the other.
+TEST_F(RelayFleetTest, choosesOlderWeightsIfTheNewOnesHaveALongQueue)
 {
-    ASSERT_TRUE(m_fleet.noteWeightsNamed("m", 1, m_now - 60s));
-    ASSERT_TRUE(m_fleet.noteWeightsNamed("m", 2, m_now));
+    ASSERT_TRUE(m_fleet.recordWeightsAnnouncement("m", 1, m_now - 60s));
+    ASSERT_TRUE(m_fleet.recordWeightsAnnouncement("m", 2, m_now));
     for (int number = 1; number <= 6; ++number) {
-        EngineStatus news = status(number <= 2 ? 2 : 1);
-        news.waiting = number <= 2 ? 20 : 0;
-        m_fleet.noteStatus("10.0.0." + std::to_string(number) + ":8000", news, m_now);
+        EngineStatus report = status(number <= 2 ? 2 : 1);
+        report.waiting = number <= 2 ? 20 : 0;
+        m_fleet.updateStatus("10.0.0." + std::to_string(number) + ":8000", report, m_now);
     }
     int older = 0;
     constexpr int requests = 100;
     for (int request = 0; request < requests; ++request) {
         const PromptOutline outline = prompt("wall-" + std::to_string(request));
         FleetQuery query = this->query(outline);
-        query.latencyTarget = 250ms; // Of which 125 ms may be waited.
+        query.latencyTarget = 250ms; // Maximum wait is 125 ms.
         const auto choice = m_fleet.choose(query, m_now);
         ASSERT_TRUE(choice.has_value());
         older += choice->weightsVersion == 1 ? 1 : 0;
@@ -218,15 +219,15 @@
     EXPECT_EQ(older, requests);
 }
 
-// An engine whose memory is full begins what waits there seconds later, and by then its weights may be too old.
-TEST_F(RelayFleetTest, sendsNothingToAQueueThatMayOutliveItsWeights)
+// An engine whose memory is full starts its waiting requests only seconds later, when its weights may be too old.
+TEST_F(RelayFleetTest, sendsNothingToAQueueThatMayOutlastItsWeights)
 {
-    ASSERT_TRUE(m_fleet.noteWeightsNamed("m", 1, m_now - 60s));
-    ASSERT_TRUE(m_fleet.noteWeightsNamed("m", 2, m_now - 5s));
+    ASSERT_TRUE(m_fleet.recordWeightsAnnouncement("m", 1, m_now - 60s));
+    ASSERT_TRUE(m_fleet.recordWeightsAnnouncement("m", 2, m_now - 5s));
     for (int number = 1; number <= 6; ++number) {
-        EngineStatus news = status();
-        news.waiting = number == 6 ? 0 : 1;
-        m_fleet.noteStatus("10.0.0." + std::to_string(number) + ":8000", news, m_now);
+        EngineStatus report = status();
+        report.waiting = number == 6 ? 0 : 1;
+        m_fleet.updateStatus("10.0.0." + std::to_string(number) + ":8000", report, m_now);
     }
     for (int request = 0; request < 60; ++request) {
         const auto choice = choose(prompt("wall-" + std::to_string(request)));
@@ -235,15 +236,15 @@
     }
 }
 
-// An engine whose agent was lost a moment ago, or was never heard of, may have a queue that nobody knows of.
-TEST_F(RelayFleetTest, sendsNothingWhereNoFreshNewsSayThatItBeginsInTime)
+// An engine whose agent was lost just now, or never reported, may have a queue that no router knows of.
+TEST_F(RelayFleetTest, sendsNothingWithoutAFreshReportThatItStartsInTime)
 {
-    ASSERT_TRUE(m_fleet.noteWeightsNamed("m", 1, m_now - 60s));
-    ASSERT_TRUE(m_fleet.noteWeightsNamed("m", 2, m_now - 5500ms));
+    ASSERT_TRUE(m_fleet.recordWeightsAnnouncement("m", 1, m_now - 60s));
+    ASSERT_TRUE(m_fleet.recordWeightsAnnouncement("m", 2, m_now - 5500ms));
     for (int number = 3; number <= 5; ++number) {
-        m_fleet.noteStatus("10.0.0." + std::to_string(number) + ":8000", status(), m_now - 800ms);
+        m_fleet.updateStatus("10.0.0." + std::to_string(number) + ":8000", status(), m_now - 800ms);
     }
-    m_fleet.noteStatus("10.0.0.6:8000", status(), m_now - 250ms);
+    m_fleet.updateStatus("10.0.0.6:8000", status(), m_now - 250ms);
     for (int request = 0; request < 60; ++request) {
         const auto choice = choose(prompt("wall-" + std::to_string(request)));
         ASSERT_TRUE(choice.has_value());
@@ -253,40 +254,40 @@
     EXPECT_FALSE(choose(prompt("wall-1"), "", {"6"}).has_value());
 }
 
-// Without any agent engines would stand idle if they got nothing as early as those with a known queue; two thirds of the time are theirs.
-TEST_F(RelayFleetTest, usesEnginesWithoutNewsForMostOfTheTime)
+// Without any agent engines would be idle if they got nothing as early as those with a known queue; they get requests for two thirds of the time.
+TEST_F(RelayFleetTest, usesEnginesWithoutReportsForMostOfTheTime)
 {
-    ASSERT_TRUE(m_fleet.noteWeightsNamed("m", 1, m_now - 60s));
-    ASSERT_TRUE(m_fleet.noteWeightsNamed("m", 2, m_now));
+    ASSERT_TRUE(m_fleet.recordWeightsAnnouncement("m", 1, m_now - 60s));
+    ASSERT_TRUE(m_fleet.recordWeightsAnnouncement("m", 2, m_now));
     m_now += 5200ms;
     EXPECT_TRUE(choose(prompt("wall-1")).has_value());
     m_now += 300ms;
     EXPECT_FALSE(choose(prompt("wall-1")).has_value());
 }
 
-// Of an engine without news this router knows what it has sent there itself, and takes it that others have sent as much.
-TEST_F(RelayFleetTest, countsItsOwnUnansweredRequestsWhereItHearsNoNews)
+// For an engine without a report this router knows only the requests that it sent there itself, and assumes that others have sent as many.
+TEST_F(RelayFleetTest, countsItsOwnUnansweredRequestsWithoutReports)
 {
     m_fleet.setRouterCount(4);
-    ASSERT_TRUE(m_fleet.noteWeightsNamed("m", 1, m_now - 60s));
-    ASSERT_TRUE(m_fleet.noteWeightsNamed("m", 2, m_now - 4500ms));
+    ASSERT_TRUE(m_fleet.recordWeightsAnnouncement("m", 1, m_now - 60s));
+    ASSERT_TRUE(m_fleet.recordWeightsAnnouncement("m", 2, m_now - 4500ms));
     const auto choiceOfFirst = [this] {
         return choose(prompt("wall-1"), "", {"2", "3", "4", "5", "6"});
     };
     auto choice = choiceOfFirst();
     ASSERT_TRUE(choice.has_value());
     for (std::chrono::microseconds work{0}; work < 300ms; work += choice->work) {
-        m_fleet.noteSent(*choice, m_now);
+        m_fleet.recordSent(*choice, m_now);
     }
     EXPECT_FALSE(choiceOfFirst().has_value());
     EXPECT_TRUE(choose(prompt("wall-1"), "", {"1"}).has_value());
 }
 
-// Five routers see the same idle engine between two of its news. Each of them has to count what the others will have sent as well.
-TEST_F(RelayFleetTest, countsWhatAllRoutersHaveSentSinceTheNews)
+// Five routers see the same idle engine between two of its reports. Each of them has to count what the others will have sent as well.
+TEST_F(RelayFleetTest, countsWhatAllRoutersHaveSentSinceTheReport)
 {
     m_fleet.setRouterCount(5);
-    m_fleet.noteStatus("10.0.0.1:8000", status(), m_now);
+    m_fleet.updateStatus("10.0.0.1:8000", status(), m_now);
     const auto choiceOfOne = [this] {
         return choose(prompt("wall-7"), "", {"2", "3", "4", "5", "6"});
     };
@@ -294,36 +295,36 @@
         auto choice = choiceOfOne();
         ASSERT_TRUE(choice.has_value());
         EXPECT_EQ(choice->waiting, expected);
-        m_fleet.noteSent(*choice, m_now);
+        m_fleet.recordSent(*choice, m_now);
     }
-    m_fleet.noteStatus("10.0.0.1:8000", status(), m_now);
+    m_fleet.updateStatus("10.0.0.1:8000", status(), m_now);
     EXPECT_EQ(choiceOfOne()->waiting, 0U);
 }
 
-// With 30 routers a second request of one of them within a quarter of a second is chance; the engine is idle, so the request has to get in.
-TEST_F(RelayFleetTest, takesNoChanceForAQueueWhereRoutersAreMany)
+// With 30 routers a second request of one of them within a quarter of a second is chance. The engine is idle, so the request has to be admitted.
+TEST_F(RelayFleetTest, doesNotMistakeChanceForAQueueWithManyRouters)
 {
     m_fleet.setRouterCount(30);
-    m_fleet.noteStatus("10.0.0.1:8000", status(), m_now);
+    m_fleet.updateStatus("10.0.0.1:8000", status(), m_now);
     std::optional<FleetChoice> choice;
     for (int request = 0; request < 3; ++request) {
         choice = choose(prompt("wall-7"), "", {"2", "3", "4", "5", "6"});
         ASSERT_TRUE(choice.has_value());
         if (request < 2) {
-            m_fleet.noteSent(*choice, m_now);
+            m_fleet.recordSent(*choice, m_now);
         }
     }
     EXPECT_FALSE(refuseUntil({*choice->expectedWait, 400ms, 5s}).has_value());
 }
 
-// A hot opening is as hot under new weights. What is counted of it must not begin anew, or it would have one home for all until it has been counted again.
+// A prefix in high demand remains so under new weights. If its demand were counted anew, it would have a single home until it had been counted again.
 TEST_F(RelayFleetTest, countsDemandAcrossWeights)
 {
     const auto before = choose(prompt("wall-7"));
     ASSERT_TRUE(before.has_value());
-    m_fleet.noteWeightsNamed("m", 2, m_now);
+    m_fleet.recordWeightsAnnouncement("m", 2, m_now);
     for (int number = 1; number <= 6; ++number) {
-        m_fleet.servers().noteWeights(std::to_string(number), "m", 2);
+        m_fleet.servers().updateWeights(std::to_string(number), "m", 2);
     }
     const auto after = choose(prompt("wall-7"));
     ASSERT_TRUE(after.has_value());
@@ -333,9 +334,9 @@
     EXPECT_NE(choose(prompt("wall-7"), "council")->route.keys, before->route.keys);
 }
 
-// All routers restart at once: none has counted any demand, and all prompts have the same opening. Each prompt goes to one engine on all routers, and the
-// prompts are spread over all engines.
-TEST(RelayFleetStartTest, agreesOnSpreadHomesBeforeAnythingWasCounted)
+// All routers restart at once: none has counted any demand, and all prompts have the same prefix. Each prompt goes to the same engine on all routers, and the
+// prompts are distributed over all engines.
+TEST(RelayFleetStartTest, agreesOnDistributedHomesBeforeAnythingWasCounted)
 {
     constexpr int walls = 120;
     std::map<std::string, std::set<std::string>> chosen;
@@ -346,14 +347,14 @@
         routing.isPlacedByWholePrompt = true;
         RelayFleet fleet(routing, {});
         for (int number = 1; number <= 6; ++number) {
-            fleet.servers().put(engine(std::to_string(number)));
+            fleet.servers().set(engine(std::to_string(number)));
         }
         for (int wall = 0; wall < walls; ++wall) {
             const PromptOutline outline = prompt("wall-" + std::to_string(wall));
             FleetQuery query;
             query.service = "reader";
             query.prompt = &outline;
-            query.draw = seed * 7919;
+            query.randomValue = seed * 7919;
             const auto choice = fleet.choose(query, start);
             ASSERT_TRUE(choice.has_value());
             chosen[outline.parts[1].id].insert(choice->serverId);
@@ -369,49 +370,49 @@
     }
 }
 
-TEST_F(RelayFleetTest, namesTheEngineThatKeepsWhatTheChosenOneLacks)
+TEST_F(RelayFleetTest, fetchesMissingPartsFromTheEngineThatCachesThem)
 {
-    m_fleet.noteWeightsNamed("m", 1, m_now);
+    m_fleet.recordWeightsAnnouncement("m", 1, m_now);
     EngineStatus holder = status();
     holder.parts = {partKey("m@1", "rules"), partKey("m@1", "wall-7")};
-    m_fleet.noteStatus("10.0.0.1:8000", holder, m_now);
+    m_fleet.updateStatus("10.0.0.1:8000", holder, m_now);
     EXPECT_EQ(choose(prompt("wall-7"), "", {"1"})->cacheSource, "10.0.0.1:8000");
     EXPECT_EQ(choose(prompt("wall-8"), "", {"1"})->cacheSource, "10.0.0.1:8000");
     EXPECT_EQ(choose(prompt("wall-7", "other"), "", {"1"})->cacheSource, "");
     RegisteredServer leaving = engine("1");
     leaving.isLeaving = true;
-    m_fleet.servers().put(leaving);
-    m_fleet.noteStatus("10.0.0.1:8000", holder, m_now);
+    m_fleet.servers().set(leaving);
+    m_fleet.updateStatus("10.0.0.1:8000", holder, m_now);
     EXPECT_EQ(choose(prompt("wall-7"))->cacheSource, "");
 }
 
-TEST_F(RelayFleetTest, asksNoEngineForPartsOnceCachesAreFull)
+TEST_F(RelayFleetTest, fetchesNoPartsFromEnginesOnceCachesAreFull)
 {
-    m_fleet.noteWeightsNamed("m", 1, m_now);
+    m_fleet.recordWeightsAnnouncement("m", 1, m_now);
     EngineStatus holder = status();
     holder.parts = {partKey("m@1", "rules"), partKey("m@1", "wall-7")};
-    m_fleet.noteStatus("10.0.0.1:8000", holder, m_now);
+    m_fleet.updateStatus("10.0.0.1:8000", holder, m_now);
     EXPECT_EQ(choose(prompt("wall-7"), "", {"1"})->cacheSource, "10.0.0.1:8000");
-    // Caches that have been filled for long drop parts within seconds, so that what was heard of them is often gone.
+    // Full caches evict parts within seconds, so that parts in the last report are often gone.
     m_now += 60s;
-    m_fleet.noteStatus("10.0.0.1:8000", holder, m_now);
+    m_fleet.updateStatus("10.0.0.1:8000", holder, m_now);
     EXPECT_EQ(choose(prompt("wall-7"), "", {"1"})->cacheSource, "");
 }
 
-TEST_F(RelayFleetTest, saysThatAnEngineWaitsToLoad)
+TEST_F(RelayFleetTest, reportsThatAnEngineWaitsToLoad)
 {
     const auto choice = choose(prompt("wall-7"));
     ASSERT_TRUE(choice.has_value());
-    EXPECT_FALSE(m_fleet.isHeldUpFromLoading(*choice, m_now));
+    EXPECT_FALSE(m_fleet.isWaitingToLoad(*choice, m_now));
     EngineStatus planned = status();
     planned.loadTime = m_now + 300ms;
-    m_fleet.noteStatus(choice->address, planned, m_now);
-    EXPECT_FALSE(m_fleet.isHeldUpFromLoading(*choice, m_now));
-    EXPECT_TRUE(m_fleet.isHeldUpFromLoading(*choice, m_now + 300ms));
-    EXPECT_FALSE(m_fleet.isHeldUpFromLoading(*choice, m_now + 60s));
+    m_fleet.updateStatus(choice->address, planned, m_now);
+    EXPECT_FALSE(m_fleet.isWaitingToLoad(*choice, m_now));
+    EXPECT_TRUE(m_fleet.isWaitingToLoad(*choice, m_now + 300ms));
+    EXPECT_FALSE(m_fleet.isWaitingToLoad(*choice, m_now + 60s));
 }
 
-TEST(RouterCensusTest, countsTheRoutersThatWereNamedLately)
+TEST(RouterCensusTest, countsRecentlyReportedRouters)
 {
     RouterCensus census(8);
     EXPECT_EQ(census.count(start), 8U);
@@ -420,12 +421,12 @@
     }
     EXPECT_EQ(census.count(start), 3U);
     census.note("10.0.0.2", start + 15s);
-    // What the others have sent may still count in a window.
+    // Requests that the other router sent may still count in a window.
     EXPECT_EQ(census.count(start + 15s), 3U);
     EXPECT_EQ(census.count(start + 30s), 1U);
 }
 
-// All routers have to elect the same few, whatever the order in which they heard of each other.
+// All routers have to elect the same few, in whatever order they learned of each other.
 TEST(RouterCensusTest, electsTheSameRoutersEverywhere)
 {
     RouterCensus one(8);
@@ -436,7 +437,7 @@
     }
     EXPECT_EQ(one.elected(8).size(), 8U);
     EXPECT_EQ(one.elected(8), other.elected(8));
-    // One that is gone is replaced, and the others stay.
+    // A router that disappears is replaced, and the others remain elected.
     RouterCensus fewer(8);
     for (int router = 0; router < 40; ++router) {
         const std::string address = "10.0.0." + std::to_string(router);
@@ -454,24 +455,24 @@
         7);
 }
 
-TEST(ServerRegisterTest, forgetsAnEntryThatIsRemovedWhileTheStoreIsWell)
+TEST(ServerRegisterTest, removesAnEntryAtOnceWhileTheStoreIsAvailable)
 {
     ServerRegister servers;
-    servers.put(engine("1"));
+    servers.set(engine("1"));
     servers.remove("1", start);
     EXPECT_TRUE(servers.servers().empty());
 }
 
-TEST(ServerRegisterTest, believesEntriesThatLapsedInAnOutageUntilTheyAreOverdue)
+TEST(ServerRegisterTest, keepsEntriesThatExpiredInAnOutageForAGracePeriod)
 {
     ServerRegister servers;
-    servers.put(engine("1"));
-    servers.put(engine("2"));
-    servers.noteStoreLost();
+    servers.set(engine("1"));
+    servers.set(engine("2"));
+    servers.markStoreLost();
     servers.replace({}, start);
     EXPECT_EQ(servers.servers().size(), 2U);
-    servers.noteStoreRegained(start + 2s);
-    servers.put(engine("2"));
+    servers.markStoreRegained(start + 2s);
+    servers.set(engine("2"));
     EXPECT_FALSE(servers.expire(start + 1s));
     EXPECT_EQ(servers.servers().size(), 2U);
     EXPECT_TRUE(servers.expire(start + 2s));
@@ -479,22 +480,22 @@
     EXPECT_TRUE(servers.servers().contains("2"));
 }
 
-TEST(ServerRegisterTest, takesNoOldEntryForNewWeightsOrAReturn)
+TEST(ServerRegisterTest, keepsNewerWeightsAndLeavingOverAnOldEntry)
 {
     ServerRegister servers;
-    servers.put(engine("1", 1));
-    servers.noteWeights("1", "m", 3);
+    servers.set(engine("1", 1));
+    servers.updateWeights("1", "m", 3);
     RegisteredServer leaving = engine("1", 2);
     leaving.isLeaving = true;
-    servers.put(leaving);
-    servers.put(engine("1", 2));
+    servers.set(leaving);
+    servers.set(engine("1", 2));
     EXPECT_EQ(servers.servers().at("1").weights.front().version, 3U);
     EXPECT_TRUE(servers.servers().at("1").isLeaving);
 }
 
-// Many short prompts beside a few long ones, at a store that keeps what was asked for last: the short ones, each saved with what belongs to it alone, would
-// push every long one out before it is asked for again.
-TEST_F(RelayFleetTest, keepsTheStoreForPromptsThatAreWorthMoving)
+// Many short prompts and a few long ones share a store that keeps the most recently used parts. If each short prompt were saved with the part that belongs to
+// it alone, they would evict every long one before its next use.
+TEST_F(RelayFleetTest, reservesTheStoreForPromptsWorthTransferring)
 {
     constexpr std::uint64_t storeTokens = 110'000;
     constexpr int shortOnes = 90;
@@ -503,7 +504,7 @@
     store.setCapacity(storeTokens);
     m_fleet.cacheStores().set({{"10.1.0.1:8000", "hall", &store}});
     int found = 0;
-    int asked = 0;
+    int requested = 0;
     for (int request = 0; request < 3600; ++request) {
         const bool isLong = request % shortOnes == 0;
         const std::string own = "own-" + std::to_string(request);
@@ -511,20 +512,20 @@
                                              : PromptOutline{"m", {{"rules", 50}, {"topic-" + own, 40}, {own, 600}}, 690, 10};
         auto choice = choose(outline);
         ASSERT_TRUE(choice.has_value());
-        asked += isLong ? 1 : 0;
+        requested += isLong ? 1 : 0;
         found += isLong && choice->storedParts == 1 ? 1 : 0;
         if (!choice->cacheStore.empty()) {
             for (const PromptPart &part : outline.parts) {
-                store.take({choice->cacheScope, part.id, part.tokens});
+                store.apply({choice->cacheScope, part.id, part.tokens});
             }
         }
         m_now += 10ms;
     }
-    EXPECT_GT(found, asked / 2);
+    EXPECT_GT(found, requested / 2);
 }
 
-// More prompts than one store has room for, asked for in turn: at a single store each would have been dropped before it is asked for again.
-TEST_F(RelayFleetTest, spreadsPromptsOverAllStores)
+// There are more prompts than one store has capacity for, requested in turn: a single store would evict each before its next use.
+TEST_F(RelayFleetTest, distributesPromptsOverAllStores)
 {
     constexpr std::uint64_t storeTokens = 100'000;
     constexpr int walls = 30;
@@ -546,7 +547,7 @@
         if (saved != stores.end()) {
             PartIndex &index = indexes[static_cast<std::size_t>(saved - stores.begin())];
             for (std::size_t part = 0; part + 1 < outline.parts.size(); ++part) {
-                index.take({choice->cacheScope, outline.parts[part].id, outline.parts[part].tokens});
+                index.apply({choice->cacheScope, outline.parts[part].id, outline.parts[part].tokens});
             }
         }
         m_now += 10ms;
@@ -554,70 +555,71 @@
     EXPECT_GT(found, (rounds - 1) * walls * 9 / 10);
 }
 
-// An engine that crashed and came back under another id leaves its earlier entry behind for seconds. Its agent is there, so nobody else may take its orders.
-TEST_F(RelayFleetTest, takesNoEngineForOrphanedWhoseAgentIsHeardUnderAnotherId)
+// An engine that crashed and came back under another id leaves its earlier entry behind for seconds. Its agent is present, so no router may take over its
+// orders.
+TEST_F(RelayFleetTest, doesNotReportAnEngineAsOrphanedWhoseAgentReportsUnderAnotherId)
 {
     RegisteredServer earlier = engine("1");
     earlier.id = "0-earlier";
-    m_fleet.servers().put(earlier);
-    m_fleet.noteWeightsNamed("m", 2, m_now);
+    m_fleet.servers().set(earlier);
+    m_fleet.recordWeightsAnnouncement("m", 2, m_now);
     for (int step = 0; step < 8; ++step) {
         for (int number = 1; number <= 6; ++number) {
-            m_fleet.noteStatus(engine(std::to_string(number)).address, status(), m_now);
+            m_fleet.updateStatus(engine(std::to_string(number)).address, status(), m_now);
         }
         EXPECT_TRUE(m_fleet.orphanedEngines(m_now).empty());
         m_now += 1s;
     }
 }
 
-// A router that is cut off from agents hears none of them, and must not take the orders of all engines for that.
-TEST_F(RelayFleetTest, takesItselfForCutOffWhenMostAgentsFallSilentAtOnce)
+// A router that is cut off from the agents receives no reports, and must not take over the orders of all engines because of that.
+TEST_F(RelayFleetTest, assumesThatItIsIsolatedWhenMostAgentsFallSilentAtOnce)
 {
-    const auto hear = [this](int count) {
+    const auto reportStatus = [this](int count) {
         for (int number = 1; number <= count; ++number) {
-            m_fleet.noteStatus(engine(std::to_string(number)).address, status(), m_now);
+            m_fleet.updateStatus(engine(std::to_string(number)).address, status(), m_now);
         }
     };
-    m_fleet.noteWeightsNamed("m", 2, m_now);
-    hear(6);
+    m_fleet.recordWeightsAnnouncement("m", 2, m_now);
+    reportStatus(6);
     m_fleet.orphanedEngines(m_now);
     m_now += 4s;
     EXPECT_TRUE(m_fleet.orphanedEngines(m_now).empty());
     m_now += 4s;
     EXPECT_EQ(m_fleet.orphanedEngines(m_now).size(), 6U);
-    // One agent that is gone among others that are there is told at once.
-    hear(6);
+    // A single lost agent among others that are present is reported at once.
+    reportStatus(6);
     for (int step = 0; step < 8; ++step) {
         m_fleet.orphanedEngines(m_now);
         m_now += 500ms;
-        hear(5);
+        reportStatus(5);
     }
     const std::vector<OrphanedEngine> orphaned = m_fleet.orphanedEngines(m_now);
     ASSERT_EQ(orphaned.size(), 1U);
     EXPECT_EQ(orphaned.front().id, "6");
 }
 
-// Hosts that are lost with their engines: without a limit each router would send on to them until connections fail, and callers would wait in vain.
-TEST_F(RelayFleetTest, sendsLittleToAnEngineThatDoesNotAnswerOnceItsAgentIsSilent)
+// Hosts are lost together with their engines. Without a limit each router would keep sending to them until connections fail, and callers would wait in vain.
+TEST_F(RelayFleetTest, limitsUnansweredRequestsToAnEngineWithASilentAgent)
 {
     const auto first = choose(prompt("wall-7"));
-    m_fleet.noteStatus(first->address, status(), m_now);
+    m_fleet.updateStatus(first->address, status(), m_now);
     m_now += 5s;
     int sent = 0;
     for (int request = 0; request < 20; ++request) {
         auto choice = choose(prompt("wall-7"));
         ASSERT_TRUE(choice.has_value());
         sent += choice->address == first->address ? 1 : 0;
-        m_fleet.noteSent(*choice, m_now);
+        m_fleet.recordSent(*choice, m_now);
     }
     EXPECT_EQ(sent, 2);
-    // Once it has answered it gets as much as before.
-    m_fleet.noteAnswered(*first, m_now);
+    // An engine that has answered gets as much as before.
+    m_fleet.recordAnswered(*first, m_now);
     EXPECT_EQ(choose(prompt("wall-7"))->address, first->address);
 }
 
-// Stores in some failure domains, and in each as many engines: what a prompt saves and fetches does not leave the domain of the engine that it goes to,
-// and each domain gets its part of the prompts.
+// Several failure domains have a store and the same number of engines each. What a prompt saves and fetches does not leave the failure domain of its engine,
+// and each domain gets its share of the prompts.
 TEST_F(RelayFleetTest, keepsAPromptsHomeAndItsStoreInOneFailureDomain)
 {
     const std::vector<std::string> domains{"hall-a", "hall-b", "hall-c"};
@@ -627,7 +629,7 @@
     for (std::size_t number = 0; number < 18; ++number) {
         RegisteredServer server = engine(std::to_string(number + 1));
         server.failureDomain = domains[number % domains.size()];
-        m_fleet.servers().put(server);
+        m_fleet.servers().set(server);
         domainOf[server.address] = server.failureDomain;
     }
     for (std::size_t number = 0; number < domains.size(); ++number) {
@@ -646,18 +648,18 @@
     for (const std::string &domain : domains) {
         EXPECT_GT(prompts[domain], walls / 5);
     }
-    // Without engines in its domain a prompt goes elsewhere.
+    // Without engines in its home domain a prompt goes elsewhere.
     for (std::size_t number = 0; number < 18; number += domains.size()) {
         RegisteredServer leaving = engine(std::to_string(number + 1));
         leaving.failureDomain = "hall-a";
         leaving.isLeaving = true;
-        m_fleet.servers().put(leaving);
+        m_fleet.servers().set(leaving);
     }
     EXPECT_TRUE(choose(prompt("wall-7")).has_value());
 }
 
-// What one router saves, another one has to look for at the same store, whatever it knows of the others.
-TEST_F(RelayFleetTest, looksForAPromptAtOneStoreOnly)
+// Whatever else they know, all routers save a prompt to the same store and look for it there.
+TEST_F(RelayFleetTest, looksForAPromptInOneStoreOnly)
 {
     PartIndex index;
     m_fleet.cacheStores().set({{"10.1.0.1:8000", "hall", &index}, {"10.1.0.2:8000", "hall", &index}, {"10.1.0.3:8000", "hall", &index}});
@@ -675,28 +677,28 @@
     }
 }
 
-TEST(PartIndexTest, knowsPartsUntilMostOfThemIsGone)
+TEST(PartIndexTest, containsPartsUntilMostOfThemIsEvicted)
 {
     PartIndex index;
-    index.take({"s", "a", 1000});
+    index.apply({"s", "a", 1000});
     EXPECT_TRUE(index.contains(partKey("s", "a")));
     EXPECT_FALSE(index.contains(partKey("t", "a")));
-    index.take({"s", "a", 900});
+    index.apply({"s", "a", 900});
     EXPECT_TRUE(index.contains(partKey("s", "a")));
-    index.take({"s", "a", 100});
+    index.apply({"s", "a", 100});
     EXPECT_FALSE(index.contains(partKey("s", "a")));
-    index.take({"s", "a", 0});
+    index.apply({"s", "a", 0});
     EXPECT_EQ(index.tokens(), 0U);
 }
 
-TEST(PartIndexTest, holdsNoMoreThanTheCacheCanWhenEndsWereNotTold)
+TEST(PartIndexTest, holdsNoMoreThanTheCacheCapacityIfEvictionsAreLost)
 {
     EXPECT_TRUE(rc::check([] {
         PartIndex index;
         index.setCapacity(5000);
         const auto events = *rc::gen::container<std::vector<int>>(rc::gen::inRange(0, 40));
         for (const int part : events) {
-            index.take({"s", std::to_string(part), static_cast<std::uint32_t>(100 + part * 30)});
+            index.apply({"s", std::to_string(part), static_cast<std::uint32_t>(100 + part * 30)});
         }
         RC_ASSERT(index.tokens() <= 5000U);
         if (!events.empty()) {
--- a/tests/auto/relay/tst_relay.cpp
+++ b/tests/auto/relay/tst_relay.cpp
@@ -111,7 +111,7 @@
     {
         m_workers.push_back(std::make_unique<WorkerFake>(*m_loop, std::move(script)));
         const std::string id = "server-" + std::to_string(m_workers.size());
-        m_relay->fleet().servers().put({id, "s", m_workers.back()->address(), "hall", 6, false, {}});
+        m_relay->fleet().servers().set({id, "s", m_workers.back()->address(), "hall", 6, false, {}});
         return *m_workers.back();
     }
 
@@ -125,8 +125,8 @@
     void startOnOldWeights(WorkerFake::Answer script)
     {
         start(std::move(script));
-        m_relay->fleet().servers().put({"server-1", "s", m_workers[0]->address(), "hall", 6, false, {{"m", 1}}});
-        EXPECT_TRUE(m_relay->fleet().noteWeightsNamed("m", 1, m_loop->now()));
+        m_relay->fleet().servers().set({"server-1", "s", m_workers[0]->address(), "hall", 6, false, {{"m", 1}}});
+        EXPECT_TRUE(m_relay->fleet().recordWeightsAnnouncement("m", 1, m_loop->now()));
     }
 
     // A caller whose request has come to that engine, which says nothing.
@@ -143,9 +143,9 @@
     Core::TimePoint nameNewWeights()
     {
         addWorker([](const auto &head, const auto &) { return WorkerScript{streamHead(head) + chunk(event(1)) + "0\r\n\r\n"}; });
-        m_relay->fleet().servers().put({"server-2", "s", m_workers[1]->address(), "hall", 6, false, {{"m", 2}}});
+        m_relay->fleet().servers().set({"server-2", "s", m_workers[1]->address(), "hall", 6, false, {{"m", 2}}});
         const Core::TimePoint now = m_loop->now();
-        EXPECT_TRUE(m_relay->fleet().noteWeightsNamed("m", 2, now));
+        EXPECT_TRUE(m_relay->fleet().recordWeightsAnnouncement("m", 2, now));
         return now;
     }
 
@@ -386,7 +386,7 @@
     addWorker(script);
     const std::array<std::string, 2> ids{"server-1", "server-2"};
     for (std::size_t worker = 0; worker < ids.size(); ++worker) {
-        m_relay->fleet().servers().put({ids[worker], "s", m_workers[worker]->address(), "hall", 6, false, {{"m", 1}}});
+        m_relay->fleet().servers().set({ids[worker], "s", m_workers[worker]->address(), "hall", 6, false, {{"m", 1}}});
     }
     const auto from = caller();
     from->send(request("/resume/", "Model: m\r\n"));
@@ -395,7 +395,7 @@
     Decisions::EngineStatus loading;
     loading.weights = {{"m", 1}};
     loading.isLoading = true;
-    m_relay->fleet().noteStatus(m_workers[first]->address(), loading, m_loop->now());
+    m_relay->fleet().updateStatus(m_workers[first]->address(), loading, m_loop->now());
     m_workers[first]->sendMore(chunk(event(2) + "id: 3\nda"));
     ASSERT_TRUE(runUntil(*m_loop, [&] { return contains(from->received(), "\r\n0\r\n\r\n"); })) << from->received();
     EXPECT_EQ(runs(), 2U);
@@ -427,9 +427,9 @@
     startOnOldWeights([](const auto &, const auto &) { return WorkerScript{}; });
     Decisions::EngineStatus idle;
     idle.weights = {{"m", 1}};
-    m_relay->fleet().noteStatus(m_workers[0]->address(), idle, m_loop->now());
+    m_relay->fleet().updateStatus(m_workers[0]->address(), idle, m_loop->now());
     const Core::TimePoint named = m_loop->now();
-    ASSERT_TRUE(m_relay->fleet().noteWeightsNamed("m", 2, named));
+    ASSERT_TRUE(m_relay->fleet().recordWeightsAnnouncement("m", 2, named));
     const auto from = caller();
     from->send(request("/resume/", "Model: m\r\n"));
     ASSERT_TRUE(runUntil(*m_loop, [&] { return m_workers[0]->heads().size() == 1; }));
@@ -454,9 +454,9 @@
 {
     const auto from = callerThatWaits("/resume/");
     const Core::TimePoint named = m_loop->now();
-    ASSERT_TRUE(m_relay->fleet().noteWeightsNamed("m", 2, Core::TimePoint::min()));
+    ASSERT_TRUE(m_relay->fleet().recordWeightsAnnouncement("m", 2, Core::TimePoint::min()));
     ASSERT_TRUE(runUntil(*m_loop, [&] { return m_loop->now() > named + 30ms; }));
-    (void)m_relay->fleet().noteWeightsNamed("m", 2, named);
+    (void)m_relay->fleet().recordWeightsAnnouncement("m", 2, named);
     ASSERT_TRUE(runUntil(*m_loop, [&] { return m_workers[0]->openCount() == 0; }));
     EXPECT_GT(m_loop->now(), named + 1500ms);
     EXPECT_LT(m_loop->now(), named + 2s);
@@ -466,7 +466,7 @@
 {
     const auto from = callerThatWaits("/resume/");
     const Core::TimePoint named = m_loop->now();
-    ASSERT_TRUE(m_relay->fleet().noteWeightsNamed("m", 2, Core::TimePoint::min()));
+    ASSERT_TRUE(m_relay->fleet().recordWeightsAnnouncement("m", 2, Core::TimePoint::min()));
     ASSERT_TRUE(runUntil(*m_loop, [&] { return m_workers[0]->openCount() == 0; }));
     EXPECT_LT(m_loop->now(), named + 500ms);
 }
@@ -492,14 +492,14 @@
 TEST_F(RelayTest, leavesAStreamWhereItIsIfNoOtherEngineIsFree)
 {
     start([](const auto &head, const auto &) { return WorkerScript{streamHead(head) + chunk(event(1))}; });
-    m_relay->fleet().servers().put({"server-1", "s", m_workers[0]->address(), "hall", 6, false, {{"m", 1}}});
+    m_relay->fleet().servers().set({"server-1", "s", m_workers[0]->address(), "hall", 6, false, {{"m", 1}}});
     const auto from = caller();
     from->send(request("/resume/", "Model: m\r\n"));
     ASSERT_TRUE(runUntil(*m_loop, [&] { return contains(from->received(), event(1)); }));
     Decisions::EngineStatus loading;
     loading.weights = {{"m", 1}};
     loading.isLoading = true;
-    m_relay->fleet().noteStatus(m_workers[0]->address(), loading, m_loop->now());
+    m_relay->fleet().updateStatus(m_workers[0]->address(), loading, m_loop->now());
     m_workers[0]->sendMore(chunk(event(2)) + "0\r\n\r\n");
     ASSERT_TRUE(runUntil(*m_loop, [&] { return contains(from->received(), "\r\n0\r\n\r\n"); })) << from->received();
     EXPECT_TRUE(contains(from->received(), event(2)));
@@ -540,7 +540,7 @@
 TEST_F(RelayTest, refusesAsNotRunWhenNoServerCanBeReached)
 {
     m_relay->setConfiguration(configuration());
-    m_relay->fleet().servers().put({"gone", "s", "127.0.0.1:1", "hall", 6, false, {}});
+    m_relay->fleet().servers().set({"gone", "s", "127.0.0.1:1", "hall", 6, false, {}});
     const std::string got = call(request("/once/"), "\r\n\r\n");
     EXPECT_TRUE(contains(got, "HTTP/1.1 503"));
     EXPECT_TRUE(contains(got, "Come-Back-Ms: "));
@@ -549,7 +549,7 @@
 TEST_F(RelayTest, asksAnotherServerWhereOneCannotBeReached)
 {
     start([](const auto &head, const auto &) { return WorkerScript{answer(head, "ok")}; });
-    m_relay->fleet().servers().put({"gone", "s", "127.0.0.1:1", "hall", 6, false, {}});
+    m_relay->fleet().servers().set({"gone", "s", "127.0.0.1:1", "hall", 6, false, {}});
     for (int number = 0; number < 5; ++number) {
         EXPECT_TRUE(contains(call(request("/once/"), "ok"), "200 OK"));
     }
--- a/tests/auto/relay/tst_resendwaits.cpp
+++ b/tests/auto/relay/tst_resendwaits.cpp
@@ -125,7 +125,7 @@
         m_relay->setConfiguration(declared);
         for (const std::string id : {"one", "other"}) {
             m_workers.push_back(std::make_unique<WorkerFake>(*m_loop, [this](const auto &, const auto &) { return script(); }));
-            m_relay->fleet().servers().put({id, "s", m_workers.back()->address(), "hall", 6, false, {}});
+            m_relay->fleet().servers().set({id, "s", m_workers.back()->address(), "hall", 6, false, {}});
         }
     }
 
--- a/tests/auto/relay/tst_restarts.cpp
+++ b/tests/auto/relay/tst_restarts.cpp
@@ -13,7 +13,7 @@
 
 const Core::TimePoint start = Core::TimePoint() + 1h;
 constexpr std::uint64_t firstStart = 1'700'000'000'000;
-// The time of day was put back before the engine started again.
+// The system clock was set back before the engine restarted.
 constexpr std::uint64_t secondStart = firstStart - 5'000;
 
 RegisteredServer engine(const std::string &id, std::uint64_t incarnation, std::uint64_t version = 1)
@@ -25,67 +25,67 @@
 
 EngineStatus status(std::uint64_t incarnation, std::uint64_t version = 1)
 {
-    EngineStatus news;
-    news.incarnation = incarnation;
-    news.weights = {{"m", version}};
-    news.totalTokens = 100'000;
-    return news;
+    EngineStatus report;
+    report.incarnation = incarnation;
+    report.weights = {{"m", version}};
+    report.totalTokens = 100'000;
+    return report;
 }
 
-TEST(ServerRegisterRestartTest, takesTheWeightsOfTheNewStart)
+TEST(ServerRegisterRestartTest, usesTheWeightsOfTheNewIncarnation)
 {
     ServerRegister servers;
-    servers.put(engine("1", firstStart, 1));
-    servers.noteWeights("1", "m", 3);
+    servers.set(engine("1", firstStart, 1));
+    servers.updateWeights("1", "m", 3);
     RegisteredServer leaving = engine("1", firstStart, 3);
     leaving.isLeaving = true;
-    servers.put(leaving);
-    servers.put(engine("1", secondStart, 2));
+    servers.set(leaving);
+    servers.set(engine("1", secondStart, 2));
     EXPECT_EQ(servers.servers().at("1").weights.front().version, 2U);
     EXPECT_FALSE(servers.servers().at("1").isLeaving);
 }
 
-TEST(ServerRegisterRestartTest, ignoresAnEntryOfAnEarlierStartThatComesLate)
+TEST(ServerRegisterRestartTest, ignoresALateEntryOfAnEarlierIncarnation)
 {
     ServerRegister servers;
-    servers.put(engine("1", firstStart, 1));
-    EXPECT_EQ(servers.noteIncarnation("1", secondStart), IncarnationNews::Restarted);
+    servers.set(engine("1", firstStart, 1));
+    EXPECT_EQ(servers.updateIncarnation("1", secondStart), IncarnationComparison::Restarted);
     const std::uint64_t revision = servers.revision();
     RegisteredServer late = engine("1", firstStart, 1);
     late.isLeaving = true;
-    servers.put(late);
+    servers.set(late);
     EXPECT_EQ(servers.servers().at("1").incarnation, secondStart);
     EXPECT_FALSE(servers.servers().at("1").isLeaving);
     EXPECT_EQ(servers.revision(), revision);
-    EXPECT_EQ(servers.noteIncarnation("1", firstStart), IncarnationNews::Outdated);
+    EXPECT_EQ(servers.updateIncarnation("1", firstStart), IncarnationComparison::Outdated);
 }
 
-// Whoever says nothing of its start is believed as before, and says nothing against what is known.
-TEST(ServerRegisterRestartTest, takesSilenceForNoRestart)
+// A message without an incarnation is accepted, and does not contradict the recorded one.
+TEST(ServerRegisterRestartTest, assumesNoRestartWithoutAnIncarnation)
 {
     ServerRegister servers;
-    servers.put(engine("1", 0, 1));
-    EXPECT_EQ(servers.noteIncarnation("1", firstStart), IncarnationNews::Same);
-    servers.put(engine("1", 0, 2));
+    servers.set(engine("1", 0, 1));
+    EXPECT_EQ(servers.updateIncarnation("1", firstStart), IncarnationComparison::Same);
+    servers.set(engine("1", 0, 2));
     EXPECT_EQ(servers.servers().at("1").incarnation, firstStart);
     EXPECT_EQ(servers.servers().at("1").weights.front().version, 2U);
 }
 
-// In whatever order news of several starts come, the last one that was new stays.
-TEST(ServerRegisterRestartTest, neverGoesBackToAnEarlierStart)
+// In whatever order messages of several incarnations arrive, the one that was new last remains.
+TEST(ServerRegisterRestartTest, neverReturnsToAnEarlierIncarnation)
 {
     EXPECT_TRUE(rc::check([] {
         ServerRegister servers;
-        servers.put(engine("1", 100));
+        servers.set(engine("1", 100));
         std::set<std::uint64_t> seen{100};
-        const auto named = *rc::gen::container<std::vector<std::uint64_t>>(rc::gen::inRange<std::uint64_t>(98, 104));
+        const auto incarnations = *rc::gen::container<std::vector<std::uint64_t>>(rc::gen::inRange<std::uint64_t>(98, 104));
         std::uint64_t current = 100;
-        for (const std::uint64_t incarnation : named) {
+        for (const std::uint64_t incarnation : incarnations) {
             current = seen.insert(incarnation).second ? incarnation : current;
             if (incarnation % 2 == 0) {
-                servers.put(engine("1", incarnation));
+                servers.set(engine("1", incarnation));
             } else {
-                servers.noteIncarnation("1", incarnation);
+                servers.updateIncarnation("1", incarnation);
             }
             RC_ASSERT(servers.servers().at("1").incarnation == current);
         }
@@ -98,14 +98,14 @@
     FleetRestartTest()
         : m_fleet(routing(), {})
     {
-        m_fleet.servers().put(engine("1", firstStart));
-        m_fleet.servers().put(engine("2", firstStart));
+        m_fleet.servers().set(engine("1", firstStart));
+        m_fleet.servers().set(engine("2", firstStart));
         EngineStatus warm = status(firstStart);
         warm.parts = {partKey("m@1", "wall")};
-        m_fleet.noteStatus("10.0.0.1:8000", warm, m_now);
+        m_fleet.updateStatus("10.0.0.1:8000", warm, m_now);
         EngineStatus cold = status(firstStart);
         cold.parts.emplace();
-        m_fleet.noteStatus("10.0.0.2:8000", cold, m_now);
+        m_fleet.updateStatus("10.0.0.2:8000", cold, m_now);
     }
 
     static RoutingOptions routing()
@@ -136,71 +136,71 @@
     Core::TimePoint m_now = start;
 };
 
-// Crashed engines come back under their ids within a second. Their callers' prompts would be sent where nothing of them is left, and would not be looked
-// for where they still are.
-TEST_F(FleetRestartTest, believesNothingOfTheCacheOfAnEarlierStart)
+// Crashed engines come back under their ids within a second. If their old cache content still counted, prompts would be sent where nothing of them is left,
+// and not where they are still cached.
+TEST_F(FleetRestartTest, discardsTheCacheOfAnEarlierIncarnation)
 {
     EXPECT_EQ(chooseFirst().warmParts, 1U);
-    m_fleet.servers().put(engine("1", secondStart));
+    m_fleet.servers().set(engine("1", secondStart));
     EXPECT_EQ(chooseFirst().warmParts, 0U);
     EngineStatus unchanged = status(secondStart);
-    m_fleet.noteStatus("10.0.0.1:8000", unchanged, m_now);
+    m_fleet.updateStatus("10.0.0.1:8000", unchanged, m_now);
     EXPECT_EQ(chooseFirst().warmParts, 0U);
 }
 
-TEST_F(FleetRestartTest, learnsOfARestartFromTheAgentBeforeTheEntryChanges)
+TEST_F(FleetRestartTest, detectsARestartByTheAgentBeforeTheEntryChanges)
 {
-    m_fleet.noteStatus("10.0.0.1:8000", status(secondStart, 2), m_now);
+    m_fleet.updateStatus("10.0.0.1:8000", status(secondStart, 2), m_now);
     EXPECT_EQ(m_fleet.servers().servers().at("1").incarnation, secondStart);
     EXPECT_EQ(m_fleet.servers().servers().at("1").weights.front().version, 2U);
-    m_fleet.servers().put(engine("1", firstStart, 1));
+    m_fleet.servers().set(engine("1", firstStart, 1));
     EXPECT_EQ(m_fleet.servers().servers().at("1").incarnation, secondStart);
 }
 
-TEST_F(FleetRestartTest, ignoresNewsOfAnEarlierStart)
+TEST_F(FleetRestartTest, ignoresReportsOfAnEarlierIncarnation)
 {
-    m_fleet.servers().put(engine("1", secondStart));
+    m_fleet.servers().set(engine("1", secondStart));
     EngineStatus late = status(firstStart, 4);
     late.parts = {partKey("m@1", "wall")};
-    m_fleet.noteStatus("10.0.0.1:8000", late, m_now);
+    m_fleet.updateStatus("10.0.0.1:8000", late, m_now);
     EXPECT_EQ(m_fleet.servers().servers().at("1").weights.front().version, 1U);
     EXPECT_EQ(chooseFirst().warmParts, 0U);
 }
 
-// A connection that breaks with the old start says nothing against the new one.
-TEST_F(FleetRestartTest, holdsNoFailureOfAnEarlierStartAgainstTheNewOne)
+// A connection that breaks with the old incarnation is no evidence against the new one.
+TEST_F(FleetRestartTest, ignoresFailuresOfAnEarlierIncarnation)
 {
     FleetChoice choice = chooseFirst();
-    m_fleet.noteSent(choice, m_now);
-    m_fleet.servers().put(engine("1", secondStart));
-    m_fleet.noteTrouble(choice, ServerTrouble::Unreachable, m_now);
+    m_fleet.recordSent(choice, m_now);
+    m_fleet.servers().set(engine("1", secondStart));
+    m_fleet.recordFailure(choice, ServerFailure::Unreachable, m_now);
     EXPECT_EQ(chooseFirst().serverId, "1");
-    m_fleet.noteReplaced(choice);
+    m_fleet.markReplaced(choice);
     EXPECT_TRUE(m_fleet.servers().servers().contains("1"));
-    m_fleet.noteWeights(choice, "m", 9);
+    m_fleet.updateWeights(choice, "m", 9);
     EXPECT_EQ(m_fleet.servers().servers().at("1").weights.front().version, 1U);
 }
 
-TEST_F(FleetRestartTest, forgetsWhatWasSentToTheEarlierStart)
+TEST_F(FleetRestartTest, discardsWhatWasSentToTheEarlierIncarnation)
 {
     FleetChoice choice = choose({"1"});
-    m_fleet.noteSent(choice, m_now);
+    m_fleet.recordSent(choice, m_now);
     EXPECT_EQ(choose({"1"}).warmParts, 1U);
-    m_fleet.servers().put(engine("2", secondStart));
+    m_fleet.servers().set(engine("2", secondStart));
     EngineStatus cold = status(secondStart);
     cold.parts.emplace();
-    m_fleet.noteStatus("10.0.0.2:8000", cold, m_now);
+    m_fleet.updateStatus("10.0.0.2:8000", cold, m_now);
     EXPECT_EQ(choose({"1"}).warmParts, 0U);
     EXPECT_EQ(choose({"1"}).waiting, 0U);
 }
 
-// Somebody else's entry that names the address of an engine must not get that engine's news.
-TEST_F(FleetRestartTest, givesNewsToTheEntryOfThatStart)
+// An entry of another program that names the address of an engine must not get the reports on that engine.
+TEST_F(FleetRestartTest, assignsReportsToTheEntryOfThatIncarnation)
 {
     RegisteredServer foreign = engine("9", 77);
     foreign.address = "10.0.0.1:8000";
-    m_fleet.servers().put(foreign);
-    m_fleet.noteStatus("10.0.0.1:8000", status(firstStart, 5), m_now);
+    m_fleet.servers().set(foreign);
+    m_fleet.updateStatus("10.0.0.1:8000", status(firstStart, 5), m_now);
     EXPECT_EQ(m_fleet.servers().servers().at("1").weights.front().version, 5U);
     EXPECT_EQ(m_fleet.servers().servers().at("9").weights.front().version, 1U);
 }
--- a/tests/auto/relay/tst_weightsnamings.cpp
+++ b/tests/auto/relay/tst_weightsnamings.cpp
@@ -232,7 +232,7 @@
     for (const std::string &value : m_records.values) {
         const auto record = Decisions::WeightsRecord::decode(value);
         ASSERT_TRUE(record);
-        for (const Decisions::DatedWeights &dated : record.value().namings()) {
+        for (const Decisions::DatedWeights &dated : record.value().entries()) {
             if (dated.after < 4 && dated.version >= 4) {
                 EXPECT_LE(dated.notBefore, firstNamed) << value;
             }
--- a/tests/auto/relay/weightsfleet.h
+++ b/tests/auto/relay/weightsfleet.h
@@ -7,7 +7,7 @@
 
 namespace Verbena::Decisions {
 
-/// \brief So many engines, named by their numbers, that all have \a version.
+/// \brief Returns \a engines holders with consecutive numbers as ids that all have \a version.
 inline std::vector<WeightsHolder> fleet(int engines, std::uint64_t version = 1)
 {
     std::vector<WeightsHolder> holders;
@@ -18,17 +18,17 @@
     return holders;
 }
 
-/// \brief When the engine \a self of \a holders should load \a version, for who learned of the naming as it was made.
+/// \brief Returns when the engine \a self of \a holders should load \a version, for a process that received the announcement when it was made.
 inline Core::TimePoint weightsLoadTime(const std::vector<WeightsHolder> &holders,
     const std::string &self,
     std::uint64_t version,
-    const WeightsPace &pace,
-    Core::TimePoint namedAt,
+    const RolloutOptions &options,
+    Core::TimePoint announcedAt,
     Core::TimePoint planned = Core::TimePoint::max())
 {
-    const std::map<std::string, WeightsTurn> turns = weightsTurns(holders, version);
-    const auto own = turns.find(self);
-    return weightsLoadTime(own == turns.end() ? WeightsTurn() : own->second, pace, {namedAt, namedAt}, planned);
+    const std::map<std::string, RolloutSlot> slots = rolloutSlots(holders, version);
+    const auto own = slots.find(self);
+    return weightsLoadTime(own == slots.end() ? RolloutSlot() : own->second, options, {announcedAt, announcedAt}, planned);
 }
 
 } // namespace Verbena::Decisions
