--- a/src/libs/decisions/relay/prompttransfers.cpp
+++ b/src/libs/decisions/relay/prompttransfers.cpp
@@ -25,13 +25,14 @@
 // and the wait for the link of the engine.
 constexpr std::uint32_t minTransferTokens = 1000;
 
-// A full store accepts one in so many prompts; a store counts as full above this fraction of its capacity.
+// A full store accepts one in this many prompts.
 constexpr std::uint64_t fullStoreSaveInterval = 4;
+// Fraction of its capacity above which a store counts as full.
 constexpr double fullStoreFraction = 0.9;
 // The low digits of the random value have already chosen the weights.
 constexpr std::uint64_t saveRandomDivisor = 1'000'000'007;
 
-// Time after an announcement in which all engines load the new weights and compute the prompts in demand again.
+// Time from an announcement until all engines have loaded the new weights and computed the prompts in demand again.
 constexpr milliseconds refillDuration{10000};
 
 } // namespace
--- a/src/libs/decisions/relay/relayfleet.h
+++ b/src/libs/decisions/relay/relayfleet.h
@@ -115,7 +115,7 @@
     ServerRegister m_register;
     RouteChooser m_chooser;
     WeightsLimits m_weightsLimits;
-    std::map<std::string, WeightsHistory> m_weights; ///< Weights history by model.
+    std::map<std::string, WeightsHistory> m_weights; ///< By model.
     std::function<void()> m_announcementObserver;
     std::map<std::pair<std::string, std::string>, std::map<std::uint64_t, std::size_t>> m_versions; ///< Engines at each version, by service and model.
     HomeDomains m_homeDomains;
--- a/src/libs/decisions/relay/weightsrecord.h
+++ b/src/libs/decisions/relay/weightsrecord.h
@@ -29,7 +29,7 @@
 
     std::string encode() const;
 
-    /// \brief Adds \a dated; of two times for one version the later one counts, as both are proven lower bounds.
+    /// \brief Adds \a dated; of two times for one version the later one counts, as both are proven.
     void add(const DatedWeights &dated);
 
     /// \brief Adds all entries of \a other.
--- a/src/libs/decisions/relay/weightsschedule.h
+++ b/src/libs/decisions/relay/weightsschedule.h
@@ -64,8 +64,8 @@
 /// \brief Returns whether an engine that runs \a running requests at \a now, after its \a loadTime, should finish them before it is ordered to load.
 ///
 /// The delay is limited because of a few long streams among many short requests: an engine that finishes its requests accepts nothing new, and one stream
-/// would keep it idle for seconds with each version. Most requests end or are continued elsewhere soon; the few streams that are not go on under
-/// the new weights.
+/// would keep it idle for seconds with each version. Most requests end or are continued elsewhere soon; the few remaining streams go on under the new
+/// weights.
 bool mayDeferLoad(std::uint32_t running, Core::TimePoint loadTime, Core::TimePoint now);
 
 /// \brief Returns whether \a slot, received again from any sender, gives an earlier load time than \a planned.
--- a/tests/auto/relay/tst_fleet.cpp
+++ b/tests/auto/relay/tst_fleet.cpp
@@ -52,7 +52,7 @@
         query.service = "reader";
         query.route = "r";
         query.prompt = &outline;
-        query.randomValue = ++m_draw * 7919;
+        query.randomValue = ++m_queryCount * 7919;
         return query;
     }
 
@@ -74,7 +74,7 @@
 
     RelayFleet m_fleet;
     Core::TimePoint m_now = start;
-    std::uint64_t m_draw = 0;
+    std::uint64_t m_queryCount = 0;
 };
 
 TEST_F(RelayFleetTest, sendsPromptsWithTheSamePrefixToFewEngines)
--- a/tests/auto/relay/tst_restarts.cpp
+++ b/tests/auto/relay/tst_restarts.cpp
@@ -12,9 +12,9 @@
 using namespace std::chrono_literals;
 
 const Core::TimePoint start = Core::TimePoint() + 1h;
-constexpr std::uint64_t firstStart = 1'700'000'000'000;
+constexpr std::uint64_t firstIncarnation = 1'700'000'000'000;
 // The system clock was set back before the engine restarted.
-constexpr std::uint64_t secondStart = firstStart - 5'000;
+constexpr std::uint64_t secondIncarnation = firstIncarnation - 5'000;
 
 RegisteredServer engine(const std::string &id, std::uint64_t incarnation, std::uint64_t version = 1)
 {
@@ -35,12 +35,12 @@
 TEST(ServerRegisterRestartTest, usesTheWeightsOfTheNewIncarnation)
 {
     ServerRegister servers;
-    servers.set(engine("1", firstStart, 1));
+    servers.set(engine("1", firstIncarnation, 1));
     servers.updateWeights("1", "m", 3);
-    RegisteredServer leaving = engine("1", firstStart, 3);
+    RegisteredServer leaving = engine("1", firstIncarnation, 3);
     leaving.isLeaving = true;
     servers.set(leaving);
-    servers.set(engine("1", secondStart, 2));
+    servers.set(engine("1", secondIncarnation, 2));
     EXPECT_EQ(servers.servers().at("1").weights.front().version, 2U);
     EXPECT_FALSE(servers.servers().at("1").isLeaving);
 }
@@ -48,16 +48,16 @@
 TEST(ServerRegisterRestartTest, ignoresALateEntryOfAnEarlierIncarnation)
 {
     ServerRegister servers;
-    servers.set(engine("1", firstStart, 1));
-    EXPECT_EQ(servers.updateIncarnation("1", secondStart), IncarnationComparison::Restarted);
+    servers.set(engine("1", firstIncarnation, 1));
+    EXPECT_EQ(servers.updateIncarnation("1", secondIncarnation), IncarnationComparison::Restarted);
     const std::uint64_t revision = servers.revision();
-    RegisteredServer late = engine("1", firstStart, 1);
+    RegisteredServer late = engine("1", firstIncarnation, 1);
     late.isLeaving = true;
     servers.set(late);
-    EXPECT_EQ(servers.servers().at("1").incarnation, secondStart);
+    EXPECT_EQ(servers.servers().at("1").incarnation, secondIncarnation);
     EXPECT_FALSE(servers.servers().at("1").isLeaving);
     EXPECT_EQ(servers.revision(), revision);
-    EXPECT_EQ(servers.updateIncarnation("1", firstStart), IncarnationComparison::Outdated);
+    EXPECT_EQ(servers.updateIncarnation("1", firstIncarnation), IncarnationComparison::Outdated);
 }
 
 // A message without an incarnation is accepted, and does not contradict the recorded one.
@@ -65,9 +65,9 @@
 {
     ServerRegister servers;
     servers.set(engine("1", 0, 1));
-    EXPECT_EQ(servers.updateIncarnation("1", firstStart), IncarnationComparison::Same);
+    EXPECT_EQ(servers.updateIncarnation("1", firstIncarnation), IncarnationComparison::Same);
     servers.set(engine("1", 0, 2));
-    EXPECT_EQ(servers.servers().at("1").incarnation, firstStart);
+    EXPECT_EQ(servers.servers().at("1").incarnation, firstIncarnation);
     EXPECT_EQ(servers.servers().at("1").weights.front().version, 2U);
 }
 
@@ -98,12 +98,12 @@
     FleetRestartTest()
         : m_fleet(routing(), {})
     {
-        m_fleet.servers().set(engine("1", firstStart));
-        m_fleet.servers().set(engine("2", firstStart));
-        EngineStatus warm = status(firstStart);
+        m_fleet.servers().set(engine("1", firstIncarnation));
+        m_fleet.servers().set(engine("2", firstIncarnation));
+        EngineStatus warm = status(firstIncarnation);
         warm.parts = {partKey("m@1", "wall")};
         m_fleet.updateStatus("10.0.0.1:8000", warm, m_now);
-        EngineStatus cold = status(firstStart);
+        EngineStatus cold = status(firstIncarnation);
         cold.parts.emplace();
         m_fleet.updateStatus("10.0.0.2:8000", cold, m_now);
     }
@@ -141,26 +141,26 @@
 TEST_F(FleetRestartTest, discardsTheCacheOfAnEarlierIncarnation)
 {
     EXPECT_EQ(chooseFirst().warmParts, 1U);
-    m_fleet.servers().set(engine("1", secondStart));
+    m_fleet.servers().set(engine("1", secondIncarnation));
     EXPECT_EQ(chooseFirst().warmParts, 0U);
-    EngineStatus unchanged = status(secondStart);
+    EngineStatus unchanged = status(secondIncarnation);
     m_fleet.updateStatus("10.0.0.1:8000", unchanged, m_now);
     EXPECT_EQ(chooseFirst().warmParts, 0U);
 }
 
 TEST_F(FleetRestartTest, detectsARestartByTheAgentBeforeTheEntryChanges)
 {
-    m_fleet.updateStatus("10.0.0.1:8000", status(secondStart, 2), m_now);
-    EXPECT_EQ(m_fleet.servers().servers().at("1").incarnation, secondStart);
+    m_fleet.updateStatus("10.0.0.1:8000", status(secondIncarnation, 2), m_now);
+    EXPECT_EQ(m_fleet.servers().servers().at("1").incarnation, secondIncarnation);
     EXPECT_EQ(m_fleet.servers().servers().at("1").weights.front().version, 2U);
-    m_fleet.servers().set(engine("1", firstStart, 1));
-    EXPECT_EQ(m_fleet.servers().servers().at("1").incarnation, secondStart);
+    m_fleet.servers().set(engine("1", firstIncarnation, 1));
+    EXPECT_EQ(m_fleet.servers().servers().at("1").incarnation, secondIncarnation);
 }
 
 TEST_F(FleetRestartTest, ignoresReportsOfAnEarlierIncarnation)
 {
-    m_fleet.servers().set(engine("1", secondStart));
-    EngineStatus late = status(firstStart, 4);
+    m_fleet.servers().set(engine("1", secondIncarnation));
+    EngineStatus late = status(firstIncarnation, 4);
     late.parts = {partKey("m@1", "wall")};
     m_fleet.updateStatus("10.0.0.1:8000", late, m_now);
     EXPECT_EQ(m_fleet.servers().servers().at("1").weights.front().version, 1U);
@@ -172,7 +172,7 @@
 {
     FleetChoice choice = chooseFirst();
     m_fleet.recordSent(choice, m_now);
-    m_fleet.servers().set(engine("1", secondStart));
+    m_fleet.servers().set(engine("1", secondIncarnation));
     m_fleet.recordFailure(choice, ServerFailure::Unreachable, m_now);
     EXPECT_EQ(chooseFirst().serverId, "1");
     m_fleet.markReplaced(choice);
@@ -186,8 +186,8 @@
     FleetChoice choice = choose({"1"});
     m_fleet.recordSent(choice, m_now);
     EXPECT_EQ(choose({"1"}).warmParts, 1U);
-    m_fleet.servers().set(engine("2", secondStart));
-    EngineStatus cold = status(secondStart);
+    m_fleet.servers().set(engine("2", secondIncarnation));
+    EngineStatus cold = status(secondIncarnation);
     cold.parts.emplace();
     m_fleet.updateStatus("10.0.0.2:8000", cold, m_now);
     EXPECT_EQ(choose({"1"}).warmParts, 0U);
@@ -200,7 +200,7 @@
     RegisteredServer foreign = engine("9", 77);
     foreign.address = "10.0.0.1:8000";
     m_fleet.servers().set(foreign);
-    m_fleet.updateStatus("10.0.0.1:8000", status(firstStart, 5), m_now);
+    m_fleet.updateStatus("10.0.0.1:8000", status(firstIncarnation, 5), m_now);
     EXPECT_EQ(m_fleet.servers().servers().at("1").weights.front().version, 5U);
     EXPECT_EQ(m_fleet.servers().servers().at("9").weights.front().version, 1U);
 }
