--- a/src/apps/policybench/policy.cpp
+++ b/src/apps/policybench/policy.cpp
@@ -93,7 +93,7 @@
 
     std::optional<BackendServerId> choose(std::size_t, const RouteQuery &query, const RouteDecision &, Core::TimePoint) override
     {
-        for (const BackendServerId id : m_placement.ranks(query.keys.back(), query.excluded.size() + 1)) {
+        for (const BackendServerId id : m_placement.nearest(query.keys.back(), query.excluded.size() + 1)) {
             if (!isIn(query.excluded, id)) {
                 return id;
             }
@@ -121,7 +121,7 @@
         const std::size_t start = m_next++;
         for (std::size_t i = 0; i < m_live.size(); ++i) {
             const BackendServerId id = m_live[(start + i) % m_live.size()];
-            const bool isBetter = !best.has_value() || m_loads[router].wait(id, now) < m_loads[router].wait(*best, now);
+            const bool isBetter = !best.has_value() || m_loads[router].expectedWait(id, now) < m_loads[router].expectedWait(*best, now);
             if (isBetter && !isIn(query.excluded, id)) {
                 best = id;
             }
@@ -136,22 +136,22 @@
 
     void noteDispatched(std::size_t router, const Attempt &attempt, Core::TimePoint) override
     {
-        m_loads[router].noteSent(attempt.server, attempt.work);
+        m_loads[router].recordSent(attempt.server, attempt.work);
     }
 
     void noteReply(std::size_t router, const Attempt &attempt, const Reply &, Core::TimePoint) override
     {
-        m_loads[router].noteAnswered(attempt.server, attempt.work);
+        m_loads[router].recordAnswered(attempt.server, attempt.work);
     }
 
     void noteRefusal(std::size_t router, const Attempt &attempt, const Decisions::RouteRefusal &, Core::TimePoint) override
     {
-        m_loads[router].noteAnswered(attempt.server, attempt.work);
+        m_loads[router].recordAnswered(attempt.server, attempt.work);
     }
 
     void noteLoad(std::size_t router, BackendServerId server, const Decisions::LoadReport &report, Core::TimePoint now) override
     {
-        m_loads[router].noteReport(server, report, now);
+        m_loads[router].updateReport(server, report, now);
     }
 
 private:
@@ -164,7 +164,7 @@
 {
     Decisions::RoutingOptions result;
     const bool isTailTimeFirst = Deployment::named(options.deployment).isTailTimeFirst;
-    result.weights = isTailTimeFirst ? Decisions::RoutingWeights::forTailTime() : Decisions::RoutingWeights::forRecomputation();
+    result.weights = isTailTimeFirst ? Decisions::RoutingWeights::forTailLatency() : Decisions::RoutingWeights::forRecomputation();
     result.seed = options.seed * 1000 + router;
     return result;
 }
@@ -197,7 +197,7 @@
             Decisions::RoutingOptions options = optionsOf(m_options, router);
             options.isProbing = m_isProbing;
             m_choosers.emplace_back(options).setFleet(m_fleet);
-            Decisions::EntryMarker &marker = m_markers.emplace_back(options.seed);
+            Decisions::FairShareMarker &marker = m_markers.emplace_back(options.seed);
             for (std::size_t i = 0; i < Workload::shares().size(); ++i) {
                 marker.setShare(Workload::organisationName(i), Workload::shares()[i]);
             }
@@ -219,11 +219,11 @@
         }
         // One flow that has the whole share gets marks that are drawn evenly.
         const std::string flow = m_variant == Variant::Uniform ? "all" : organisation;
-        Decisions::EntryMarker &marker = m_markers[router];
+        Decisions::FairShareMarker &marker = m_markers[router];
         if (m_variant == Variant::Uniform) {
             marker.setShare(flow, 1);
         }
-        marker.noteRequest(flow, now);
+        marker.recordRequest(flow, now);
         return marker.mark(flow, now);
     }
 
@@ -244,30 +244,30 @@
 
     void noteDispatched(std::size_t router, const Attempt &attempt, Core::TimePoint now) override
     {
-        m_choosers[router].noteDispatched(attempt.server, attempt.query, attempt.work, now);
+        m_choosers[router].recordDispatch(attempt.server, attempt.query, attempt.work, now);
     }
 
     void noteProbe(std::size_t router, BackendServerId server, const RouteQuery &query, const ProbeReply &reply, Core::TimePoint now) override
     {
-        m_choosers[router].noteProbe(server, query, reply.warmPieces, reply.load, now);
+        m_choosers[router].recordProbe(server, query, reply.warmPieces, reply.load, now);
     }
 
     void noteReply(std::size_t router, const Attempt &attempt, const Reply &reply, Core::TimePoint now) override
     {
-        m_choosers[router].noteReply(attempt.server, attempt.query, reply.warmPieces, attempt.work, now);
+        m_choosers[router].recordReply(attempt.server, attempt.query, reply.warmPieces, attempt.work, now);
         if (reply.heat.has_value()) {
-            m_choosers[router].noteHeat(reply.heat->key, reply.heat->width, now + std::chrono::seconds(3));
+            m_choosers[router].setHomeCount(reply.heat->key, reply.heat->width, now + std::chrono::seconds(3));
         }
     }
 
     void noteRefusal(std::size_t router, const Attempt &attempt, const Decisions::RouteRefusal &refusal, Core::TimePoint now) override
     {
-        m_choosers[router].noteRefusal(attempt.server, attempt.query, refusal, attempt.work, now);
+        m_choosers[router].recordRefusal(attempt.server, attempt.query, refusal, attempt.work, now);
     }
 
     void noteLoad(std::size_t router, BackendServerId server, const Decisions::LoadReport &report, Core::TimePoint now) override
     {
-        m_choosers[router].noteLoad(server, report, now);
+        m_choosers[router].updateLoad(server, report, now);
     }
 
 private:
@@ -276,7 +276,7 @@
     bool m_isProbing;
     std::vector<BackendServer> m_fleet;
     std::vector<Decisions::RouteChooser> m_choosers;
-    std::vector<Decisions::EntryMarker> m_markers;
+    std::vector<Decisions::FairShareMarker> m_markers;
 };
 
 // Sees every cache and queue as they are; the bound, since no router can.
--- a/src/apps/policybench/policy.h
+++ b/src/apps/policybench/policy.h
@@ -4,7 +4,7 @@
 #include "fakeengine.h"
 
 #include <decisions/gate/admissiongate.h>
-#include <decisions/routing/entrymarker.h>
+#include <decisions/routing/fairsharemarker.h>
 #include <decisions/routing/routechooser.h>
 
 #include <memory>
--- a/src/libs/decisions/attempts/attemptaction.h
+++ b/src/libs/decisions/attempts/attemptaction.h
@@ -12,14 +12,14 @@
 
 namespace Verbena::Decisions {
 
-/// \brief What is known of whether a request has been run.
+/// \brief Knowledge of the router about whether a request has been run.
 enum class RunState {
-    NotRun, ///< Proved: nothing was sent, or every agent it was sent to refused it.
-    Run, ///< A backend server has answered at least a part.
-    Unknown, ///< It was sent and nobody said what became of it.
+    NotRun, ///< Certainly not run: it was not sent, or every agent that received it refused it.
+    Run, ///< Run at least in part: a backend server has answered some of it.
+    Unknown, ///< Possibly run: it was sent and its outcome is not known.
 };
 
-/// \brief Why an agent refused an attempt.
+/// \brief Reason for which an agent refused an attempt.
 enum class AttemptRefusal {
     None,
     QueueFull,
@@ -27,71 +27,71 @@
     Overload,
     Leaving,
     NotServed,
-    Incarnation, ///< Meant for an earlier incarnation of the agent.
-    Duplicate, ///< Received before: this says nothing about whether the first copy runs.
+    Incarnation, ///< Addressed to an earlier incarnation of the agent.
+    Duplicate, ///< Received before; the first copy may be running.
     EngineDown,
     Redirect,
 };
 
-/// \brief How an agent says that an attempt ended.
+/// \brief Outcome of an attempt as its agent reports it.
 enum class AttemptEnd {
     Complete,
     EngineLost,
     Cancelled,
     DeadlinePassed,
-    Rejected, ///< The backend server answered with an error of its own.
+    Rejected, ///< Answered by the backend server with an error of its own.
 };
 
-/// \brief Why a request was given up.
+/// \brief Reason for which a request failed.
 enum class FailureReason {
-    NoBackendServer, ///< None that may serve it is left.
+    NoBackendServer, ///< No backend server is left that may serve the request.
     Unreachable, ///< No agent could be reached.
-    Refused, ///< Agents refused it.
-    Lost, ///< The agent or the engine was lost on the way.
+    Refused, ///< The agents refused the request.
+    Lost, ///< The agent or the engine was lost during the attempt.
     RetriesUsedUp, ///< The retry budget is empty.
     DeadlineExceeded,
     BackendError, ///< A resumed attempt was answered with an error.
 };
 
-/// \brief Hand \a text to the caller. The view ends with the event that it came with.
+/// \brief Action: delivers \a text to the caller. The view is valid only during the event that returned the action.
 struct DeliverText
 {
     std::string_view text;
     std::uint32_t tokens = 0;
 };
 
-/// \brief Choose a backend server and send this attempt to it.
+/// \brief Action: chooses a backend server and sends the attempt to it.
 struct DispatchAttempt
 {
     std::uint32_t attempt = 0;
-    std::uint32_t resumeTokens = 0; ///< Tokens that the caller has already.
+    std::uint32_t resumeTokens = 0; ///< Number of tokens that the caller already has.
 };
 
-/// \brief Tell the agent of an attempt that nobody waits for it any more.
+/// \brief Action: tells the agent of an attempt that its answer is no longer needed.
 struct CancelAttempt
 {
     std::uint32_t attempt = 0;
     BackendServerId server{};
 };
 
-/// \brief The caller has the whole answer.
+/// \brief Action: ends a request whose whole answer was delivered.
 struct FinishRequest
 {
-    AttemptEnd kind = AttemptEnd::Complete; ///< Complete or Rejected.
+    AttemptEnd kind = AttemptEnd::Complete; ///< Outcome; Complete or Rejected.
 };
 
-/// \brief Tell the caller that there will be no whole answer.
+/// \brief Action: reports to the caller that there will be no whole answer.
 struct FailRequest
 {
     FailureReason reason = FailureReason::Lost;
     RunState run = RunState::Unknown;
-    AttemptRefusal refusal = AttemptRefusal::None; ///< The last one, if there was any.
-    std::optional<std::chrono::microseconds> retryAfter; ///< Nothing where coming back makes no sense.
+    AttemptRefusal refusal = AttemptRefusal::None; ///< Reason of the last refusal, if there was one.
+    std::optional<std::chrono::microseconds> retryAfter; ///< Time after which the caller may retry; nothing if a retry makes no sense.
 };
 
 using AttemptAction = std::variant<DeliverText, DispatchAttempt, CancelAttempt, FinishRequest, FailRequest>;
 
-/// \brief What to do after an event, in this order: at most the cancelling of an attempt and one thing more.
+/// \brief Actions after an event, in the order of execution: at most the cancellation of an attempt and one other action.
 using AttemptActions = boost::container::static_vector<AttemptAction, 2>;
 
 } // namespace Verbena::Decisions
--- a/src/libs/decisions/attempts/attempttracker.cpp
+++ b/src/libs/decisions/attempts/attempttracker.cpp
@@ -4,9 +4,9 @@
 
 namespace {
 
-// A refusal for want of room says that the fleet is busy, and asking elsewhere adds to that. The others concern that
-// backend server alone.
-bool isForWantOfRoom(AttemptRefusal reason)
+// A refusal for lack of capacity indicates that the whole fleet is busy, and a retry elsewhere adds to its load. Refusals for other
+// reasons concern only that backend server.
+bool isForLackOfCapacity(AttemptRefusal reason)
 {
     return reason == AttemptRefusal::QueueFull || reason == AttemptRefusal::DeadlineTooNear || reason == AttemptRefusal::Overload;
 }
@@ -25,7 +25,7 @@
     return AttemptActions(1, DispatchAttempt{m_attempt, 0});
 }
 
-AttemptActions AttemptTracker::noteNoCandidate()
+AttemptActions AttemptTracker::handleNoCandidate()
 {
     AttemptActions actions;
     if (m_state == AttemptState::NotSent) {
@@ -34,7 +34,7 @@
     return actions;
 }
 
-AttemptActions AttemptTracker::noteOverload()
+AttemptActions AttemptTracker::handleOverload()
 {
     AttemptActions actions;
     if (m_state == AttemptState::NotSent) {
@@ -44,7 +44,7 @@
     return actions;
 }
 
-void AttemptTracker::noteSent(std::uint32_t attempt, BackendServerId server)
+void AttemptTracker::markSent(std::uint32_t attempt, BackendServerId server)
 {
     if (isCurrent(attempt) && m_state == AttemptState::NotSent) {
         m_state = AttemptState::Sent;
@@ -52,7 +52,7 @@
     }
 }
 
-AttemptActions AttemptTracker::noteNotSent(std::uint32_t attempt, BackendServerId server)
+AttemptActions AttemptTracker::handleNotSent(std::uint32_t attempt, BackendServerId server)
 {
     AttemptActions actions;
     if (isCurrent(attempt) && m_state == AttemptState::NotSent) {
@@ -63,43 +63,43 @@
     return actions;
 }
 
-void AttemptTracker::noteAdmitted(std::uint32_t attempt)
+void AttemptTracker::markAdmitted(std::uint32_t attempt)
 {
     if (isCurrent(attempt) && m_state == AttemptState::Sent) {
         m_state = AttemptState::Admitted;
     }
 }
 
-AttemptActions AttemptTracker::noteRefused(std::uint32_t attempt, AttemptRefusal reason, std::chrono::microseconds retryAfter)
+AttemptActions AttemptTracker::handleRefusal(std::uint32_t attempt, AttemptRefusal reason, std::chrono::microseconds retryAfter)
 {
-    if (!isCurrent(attempt) || !isWithAgent()) {
+    if (!isCurrent(attempt) || !isInFlight()) {
         return {};
     }
-    // Frames and a refusal of the same attempt contradict each other, and a duplicate may be running in its first copy.
+    // A refusal after frames of the same attempt is contradictory, and the first copy of a duplicate may be running.
     if (m_state == AttemptState::Streaming || reason == AttemptRefusal::Duplicate) {
-        return loseAttempt();
+        return handleLostAttempt();
     }
     m_lastFailure = FailureReason::Refused;
     m_lastRefusal = reason;
     m_retryAfter = retryAfter;
-    // An agent that came back as a new incarnation may well serve the request now.
+    // The new incarnation of a restarted agent may serve the request.
     if (reason != AttemptRefusal::Incarnation) {
         m_excluded.push_back(m_server);
     }
     m_state = AttemptState::NotSent;
     AttemptActions actions;
-    appendRetry(actions, isForWantOfRoom(reason));
+    appendRetry(actions, isForLackOfCapacity(reason));
     return actions;
 }
 
-AttemptActions AttemptTracker::noteFrame(std::uint32_t attempt, std::uint64_t sequence, std::string_view text, std::uint32_t tokens)
+AttemptActions AttemptTracker::handleFrame(std::uint32_t attempt, std::uint64_t sequence, std::string_view text, std::uint32_t tokens)
 {
-    if (!isCurrent(attempt) || !isWithAgent() || sequence <= m_lastSequence) {
+    if (!isCurrent(attempt) || !isInFlight() || sequence <= m_lastSequence) {
         return {};
     }
     m_state = AttemptState::Streaming;
     if (sequence != m_lastSequence + 1) {
-        return loseAttempt();
+        return handleLostAttempt();
     }
     m_lastSequence = sequence;
     m_deliveredTokens += tokens;
@@ -107,13 +107,13 @@
     return AttemptActions(1, DeliverText{text, tokens});
 }
 
-AttemptActions AttemptTracker::noteEnded(std::uint32_t attempt, std::uint64_t sequence, AttemptEnd kind)
+AttemptActions AttemptTracker::handleEnd(std::uint32_t attempt, std::uint64_t sequence, AttemptEnd kind)
 {
-    if (!isCurrent(attempt) || !isWithAgent()) {
+    if (!isCurrent(attempt) || !isInFlight()) {
         return {};
     }
     const bool isWhole = sequence == m_lastSequence + 1;
-    // What a backend server answers with an error is its answer, unless the caller has a part of another one already.
+    // An error from the backend server is the answer to the request, unless the caller already has a part of another answer.
     const bool isRejected = kind == AttemptEnd::Rejected && isWhole;
     if (isRejected && m_hasDelivered && m_policy.isResumable) {
         AttemptActions actions;
@@ -123,18 +123,18 @@
     if (isRejected || (kind == AttemptEnd::Complete && isWhole)) {
         m_hasDelivered = true;
         end();
-        m_budget.noteSuccess();
+        m_budget.recordSuccess();
         return AttemptActions(1, FinishRequest{kind});
     }
-    return loseAttempt();
+    return handleLostAttempt();
 }
 
-AttemptActions AttemptTracker::noteAgentLost(std::uint32_t attempt)
+AttemptActions AttemptTracker::handleAgentLost(std::uint32_t attempt)
 {
-    return isCurrent(attempt) && isWithAgent() ? loseAttempt() : AttemptActions();
+    return isCurrent(attempt) && isInFlight() ? handleLostAttempt() : AttemptActions();
 }
 
-AttemptActions AttemptTracker::noteDeadline()
+AttemptActions AttemptTracker::handleDeadline()
 {
     AttemptActions actions;
     if (m_state != AttemptState::Ended) {
@@ -144,7 +144,7 @@
     return actions;
 }
 
-AttemptActions AttemptTracker::noteCallerGone()
+AttemptActions AttemptTracker::handleCallerGone()
 {
     AttemptActions actions;
     appendCancel(actions);
@@ -177,7 +177,7 @@
     if (m_hasDelivered || m_state == AttemptState::Streaming) {
         return RunState::Run;
     }
-    return m_mayHaveRun || isWithAgent() ? RunState::Unknown : RunState::NotRun;
+    return m_mayHaveRun || isInFlight() ? RunState::Unknown : RunState::NotRun;
 }
 
 bool AttemptTracker::isCurrent(std::uint32_t attempt) const
@@ -185,20 +185,20 @@
     return attempt == m_attempt;
 }
 
-bool AttemptTracker::isWithAgent() const
+bool AttemptTracker::isInFlight() const
 {
     return m_state == AttemptState::Sent || m_state == AttemptState::Admitted || m_state == AttemptState::Streaming;
 }
 
 void AttemptTracker::appendCancel(AttemptActions &actions) const
 {
-    if (isWithAgent()) {
+    if (isInFlight()) {
         actions.push_back(CancelAttempt{m_attempt, m_server});
     }
 }
 
-// What is lost may have run. Only an idempotent request may go on elsewhere.
-AttemptActions AttemptTracker::loseAttempt()
+// A lost attempt may have run, so only an idempotent request may continue elsewhere.
+AttemptActions AttemptTracker::handleLostAttempt()
 {
     AttemptActions actions;
     appendCancel(actions);
@@ -209,7 +209,7 @@
     m_state = AttemptState::NotSent;
     const bool hasAllTokens = m_policy.isResumable && m_policy.maximumTokens > 0 && m_deliveredTokens >= m_policy.maximumTokens;
     if (hasAllTokens) {
-        // Only the word that it is over was lost.
+        // All tokens were delivered; only the message that the attempt ended was lost.
         end();
         actions.push_back(FinishRequest{AttemptEnd::Complete});
     } else if (m_policy.isIdempotent) {
@@ -220,21 +220,21 @@
     return actions;
 }
 
-// What is known of whether the request has been run stays known after its end.
+// Preserves the information for runState() after the request has ended.
 void AttemptTracker::end()
 {
-    m_mayHaveRun = m_mayHaveRun || isWithAgent();
+    m_mayHaveRun = m_mayHaveRun || isInFlight();
     m_hasDelivered = m_hasDelivered || m_state == AttemptState::Streaming;
     m_state = AttemptState::Ended;
 }
 
-void AttemptTracker::appendRetry(AttemptActions &actions, bool isTakingBudget)
+void AttemptTracker::appendRetry(AttemptActions &actions, bool isUsingBudget)
 {
     if (m_attempt >= m_policy.maximumAttempts) {
         appendFailure(actions, m_lastFailure);
         return;
     }
-    if (isTakingBudget && !m_budget.tryTake()) {
+    if (isUsingBudget && !m_budget.tryConsume()) {
         appendFailure(actions, FailureReason::RetriesUsedUp);
         return;
     }
@@ -249,11 +249,12 @@
 void AttemptTracker::appendFailure(AttemptActions &actions, FailureReason reason)
 {
     end();
-    actions.push_back(FailRequest{reason, runState(), m_lastRefusal, retryAdvice(reason)});
+    actions.push_back(FailRequest{reason, runState(), m_lastRefusal, suggestedRetryDelay(reason)});
 }
 
-// Who may not repeat a request that perhaps ran, and who asked for too short a deadline, gains nothing by coming back.
-std::optional<std::chrono::microseconds> AttemptTracker::retryAdvice(FailureReason reason) const
+// A retry makes no sense if the request may have run and must not be repeated, nor after a deadline that was too short or an error of the
+// backend server.
+std::optional<std::chrono::microseconds> AttemptTracker::suggestedRetryDelay(FailureReason reason) const
 {
     const bool isRepeatable = m_policy.isIdempotent || runState() == RunState::NotRun;
     const bool isTransient = reason != FailureReason::DeadlineExceeded && reason != FailureReason::BackendError;
--- a/src/libs/decisions/attempts/attempttracker.h
+++ b/src/libs/decisions/attempts/attempttracker.h
@@ -7,86 +7,89 @@
 
 namespace Verbena::Decisions {
 
-/// \brief Where the current attempt of a request stands.
+/// \brief State of the current attempt of a request.
 enum class AttemptState {
     NotSent,
     Sent,
     Admitted,
     Streaming,
-    Ended, ///< The request is over.
+    Ended, ///< The request has ended.
 };
 
-/// \brief What a request allows.
+/// \brief Rules for the attempts of one request.
 struct AttemptPolicy
 {
-    bool isIdempotent = true; ///< False: at most one attempt may ever run.
-    bool isResumable = true; ///< A new attempt goes on after the text delivered so far; false: it starts over.
+    bool isIdempotent = true; ///< Whether several attempts may run; otherwise at most one ever may.
+    bool isResumable = true; ///< Whether a new attempt continues after the text delivered so far; otherwise it starts over.
     std::uint32_t maximumAttempts = 6;
-    std::uint32_t maximumTokens = 0; ///< The answer is whole at this number of tokens; 0 means unknown.
-    std::chrono::microseconds defaultRetryAfter = std::chrono::seconds(1);
+    std::uint32_t maximumTokens = 0; ///< Number of tokens at which the answer is whole; 0 if unknown.
+    std::chrono::microseconds defaultRetryAfter = std::chrono::seconds(1); ///< Advice to the caller if no agent gave one.
 };
 
-/// \brief The state machine of one request over its attempts.
+/// \brief State machine of one request and its attempts.
 ///
-/// Takes what becomes of attempts and says what to do. The caller gets exactly one whole answer in order or exactly one error.
+/// Each event returns the actions to execute. The caller gets exactly one whole answer in order, or exactly one error. Events of attempts
+/// other than the current one are ignored.
 class AttemptTracker
 {
 public:
     AttemptTracker(const AttemptPolicy &policy, RetryBudget &budget);
 
-    /// \brief Begins the first attempt.
+    /// \brief Starts the first attempt.
     AttemptActions start();
 
-    /// \brief The current attempt has no backend server to go to.
-    AttemptActions noteNoCandidate();
+    /// \brief Handles that there is no backend server for the current attempt.
+    AttemptActions handleNoCandidate();
 
-    /// \brief All backend servers that could take the request have said that they would refuse it.
-    AttemptActions noteOverload();
+    /// \brief Handles that all backend servers that could serve the request have reported that they would refuse it.
+    AttemptActions handleOverload();
 
-    /// \brief The attempt was handed to the connection to \a server; from now on it may run.
-    void noteSent(std::uint32_t attempt, BackendServerId server);
+    /// \brief Marks \a attempt as passed to the connection to \a server; from now on it may run.
+    void markSent(std::uint32_t attempt, BackendServerId server);
 
-    /// \brief No byte of the attempt was sent to \a server.
-    AttemptActions noteNotSent(std::uint32_t attempt, BackendServerId server);
+    /// \brief Handles that no byte of \a attempt was sent to \a server.
+    AttemptActions handleNotSent(std::uint32_t attempt, BackendServerId server);
 
-    void noteAdmitted(std::uint32_t attempt);
+    /// \brief Marks \a attempt as admitted by its agent.
+    void markAdmitted(std::uint32_t attempt);
 
-    /// \brief The agent refused; \a retryAfter is its advice, zero if it gave none.
-    AttemptActions noteRefused(std::uint32_t attempt, AttemptRefusal reason, std::chrono::microseconds retryAfter);
+    /// \brief Handles a refusal of \a attempt by its agent; \a retryAfter is the advice of the agent, zero if it gave none.
+    AttemptActions handleRefusal(std::uint32_t attempt, AttemptRefusal reason, std::chrono::microseconds retryAfter);
 
-    /// \brief A frame has come; \a sequence counts from 1 within an attempt.
-    AttemptActions noteFrame(std::uint32_t attempt, std::uint64_t sequence, std::string_view text, std::uint32_t tokens);
+    /// \brief Handles a frame with \a text of \a tokens tokens; \a sequence counts from 1 within \a attempt.
+    AttemptActions handleFrame(std::uint32_t attempt, std::uint64_t sequence, std::string_view text, std::uint32_t tokens);
 
-    /// \brief The attempt ended; \a sequence is one more than that of its last frame.
-    AttemptActions noteEnded(std::uint32_t attempt, std::uint64_t sequence, AttemptEnd kind);
+    /// \brief Handles the end of \a attempt; \a sequence is one more than that of its last frame.
+    AttemptActions handleEnd(std::uint32_t attempt, std::uint64_t sequence, AttemptEnd kind);
 
-    /// \brief The agent of the attempt is dead, cut off, or back as a new incarnation.
-    AttemptActions noteAgentLost(std::uint32_t attempt);
+    /// \brief Handles the loss of the agent of \a attempt: it is dead, unreachable or restarted as a new incarnation.
+    AttemptActions handleAgentLost(std::uint32_t attempt);
 
-    AttemptActions noteDeadline();
+    /// \brief Handles the end of the time that the caller allowed for the request.
+    AttemptActions handleDeadline();
 
-    /// \brief The caller has gone; there is nobody left to answer.
-    AttemptActions noteCallerGone();
+    /// \brief Handles that the caller has disconnected, so that no answer is needed.
+    AttemptActions handleCallerGone();
 
     AttemptState state() const;
     std::uint32_t attempt() const;
     std::uint32_t deliveredTokens() const;
 
-    /// \brief Backend servers that a further attempt must not go to.
+    /// \brief Returns the backend servers to which further attempts must not go.
     const std::vector<BackendServerId> &excluded() const;
 
-    /// \brief What is known now of whether the request has been run.
+    /// \brief Returns what is currently known about whether the request has been run.
     RunState runState() const;
 
 private:
     bool isCurrent(std::uint32_t attempt) const;
-    bool isWithAgent() const;
+    bool isInFlight() const;
     void appendCancel(AttemptActions &actions) const;
-    AttemptActions loseAttempt();
+    AttemptActions handleLostAttempt();
     void end();
-    void appendRetry(AttemptActions &actions, bool isTakingBudget);
+    void appendRetry(AttemptActions &actions, bool isUsingBudget);
     void appendFailure(AttemptActions &actions, FailureReason reason);
-    std::optional<std::chrono::microseconds> retryAdvice(FailureReason reason) const;
+    std::optional<std::chrono::microseconds> suggestedRetryDelay(FailureReason reason) const;
 
     AttemptPolicy m_policy;
     RetryBudget &m_budget;
@@ -95,7 +98,7 @@
     std::uint64_t m_lastSequence = 0;
     std::uint32_t m_deliveredTokens = 0;
     bool m_hasDelivered = false;
-    bool m_mayHaveRun = false; ///< An earlier attempt was sent and not refused.
+    bool m_mayHaveRun = false; ///< Whether an earlier attempt was sent and not refused.
     BackendServerId m_server{};
     std::vector<BackendServerId> m_excluded;
     FailureReason m_lastFailure = FailureReason::NoBackendServer;
--- a/src/libs/decisions/attempts/retrybudget.cpp
+++ b/src/libs/decisions/attempts/retrybudget.cpp
@@ -4,8 +4,8 @@
 
 namespace Verbena::Decisions {
 
-// What a process starts with it has anew with each start, whatever the one before it used. So that is little, for a router that is killed again and again
-// while backend servers fail.
+// Each start of a process grants atStart retries again, whatever the previous process has used. Keep it small: a router that is killed
+// repeatedly while backend servers fail would otherwise multiply the load.
 RetryBudget::RetryBudget(double fraction, double capacity, double atStart)
     : m_fraction(fraction)
     , m_capacity(capacity)
@@ -13,12 +13,12 @@
 {
 }
 
-void RetryBudget::noteSuccess()
+void RetryBudget::recordSuccess()
 {
     m_available = std::min(m_capacity, m_available + m_fraction);
 }
 
-bool RetryBudget::tryTake()
+bool RetryBudget::tryConsume()
 {
     if (m_available < 1.0) {
         return false;
--- a/src/libs/decisions/attempts/retrybudget.h
+++ b/src/libs/decisions/attempts/retrybudget.h
@@ -2,18 +2,20 @@
 
 namespace Verbena::Decisions {
 
-/// \brief Holds the retries of one router to a fraction of its successes, so that failures cannot multiply the load.
+/// \brief Limits the retries of one router to a fraction of its successes, so that failures cannot multiply the load.
 class RetryBudget
 {
 public:
-    /// \brief Starts with \a atStart retries; each success adds \a fraction of one, up to \a capacity.
+    /// \brief Creates a budget of \a atStart retries; each success adds \a fraction of a retry, up to \a capacity.
     RetryBudget(double fraction, double capacity, double atStart);
 
-    void noteSuccess();
+    /// \brief Adds the fraction of a retry that a success grants.
+    void recordSuccess();
 
-    /// \brief Takes one retry; false if there is none left.
-    bool tryTake();
+    /// \brief Consumes one retry; returns false if none is left.
+    bool tryConsume();
 
+    /// \brief Returns the number of retries that are left.
     double available() const;
 
 private:
--- a/src/libs/decisions/gate/modelplan.cpp
+++ b/src/libs/decisions/gate/modelplan.cpp
@@ -173,7 +173,7 @@
     if (!isEligible || model.replicas == 0) {
         return isEligible;
     }
-    const std::vector<BackendServerId> ranks = Placement(pool).ranks(placementKey(model.version), model.replicas);
+    const std::vector<BackendServerId> ranks = Placement(pool).nearest(placementKey(model.version), model.replicas);
     return std::find(ranks.begin(), ranks.end(), m_self) != ranks.end();
 }
 
--- a/src/libs/decisions/relay/relayfleet.cpp
+++ b/src/libs/decisions/relay/relayfleet.cpp
@@ -169,7 +169,7 @@
     for (const ServedWeights &weights : status.weights) {
         m_register.noteWeights(id, weights.model, weights.version);
     }
-    m_chooser.noteLoad(key, EngineNews::loadOf(status), now);
+    m_chooser.updateLoad(key, EngineNews::loadOf(status), now);
 }
 
 std::vector<OrphanedEngine> RelayFleet::orphanedEngines(Core::TimePoint now)
@@ -241,7 +241,7 @@
         return;
     }
     for (const auto &[id, incarnation] : m_incarnations) {
-        if (m_news.mayBeginLate(id, m_chooser.unanswered(id), *until, now)) {
+        if (m_news.mayBeginLate(id, m_chooser.unansweredWork(id), *until, now)) {
             choice.route.excluded.push_back(id);
         }
     }
@@ -397,7 +397,7 @@
 void RelayFleet::noteSent(FleetChoice &choice, Core::TimePoint now)
 {
     choice.sentAt = now;
-    m_chooser.noteDispatched(choice.id, choice.route, choice.work, now);
+    m_chooser.recordDispatch(choice.id, choice.route, choice.work, now);
     m_news.noteSent(choice.id);
     m_moves.caches().noteSent(choice.id, choice.parts, now);
 }
@@ -409,7 +409,7 @@
     }
     m_failures.erase(choice.id);
     m_news.noteAnswered(choice.id, now);
-    m_chooser.noteReply(choice.id, choice.route, static_cast<std::uint32_t>(choice.parts.size()), choice.work, now);
+    m_chooser.recordReply(choice.id, choice.route, static_cast<std::uint32_t>(choice.parts.size()), choice.work, now);
     if (choice.expectedWait.has_value()) {
         m_estimates[choice.routeName].note(choice.waiting, std::chrono::duration_cast<microseconds>(now - choice.sentAt), now);
     }
@@ -423,13 +423,13 @@
     RouteRefusal refusal;
     refusal.isUnavailable = true;
     refusal.retryAfter = trouble == ServerTrouble::Full ? fullPause : unreachablePause * (1 << std::min(m_failures[choice.id]++, mostDoublings));
-    m_chooser.noteRefusal(choice.id, choice.route, refusal, choice.work, now);
+    m_chooser.recordRefusal(choice.id, choice.route, refusal, choice.work, now);
 }
 
 void RelayFleet::noteAbandoned(const FleetChoice &choice)
 {
     if (!isOutdated(choice)) {
-        m_chooser.noteNoAnswer(choice.id, choice.work);
+        m_chooser.recordNoAnswer(choice.id, choice.work);
     }
 }
 
--- a/src/libs/decisions/routing/backendserver.h
+++ b/src/libs/decisions/routing/backendserver.h
@@ -7,14 +7,14 @@
 
 namespace Verbena::Decisions {
 
-/// \brief Names a backend server in decisions; a hash of its name.
+/// \brief Identifies a backend server in decisions: the hash of its name.
 enum class BackendServerId : std::uint64_t {};
 
-/// \brief What a request asks for and an engine can hold: a model with an adapter and the version of its weights.
+/// \brief A model with its adapter and the version of its weights, as a request asks for it and an engine loads it.
 struct ModelVersion
 {
     std::string model;
-    std::string adapter; ///< Empty for the bare model.
+    std::string adapter; ///< Empty for the model without an adapter.
     std::string weightsVersion;
 
     bool operator==(const ModelVersion &) const = default;
@@ -25,27 +25,27 @@
     }
 };
 
-/// \brief Whether a backend server may get new work.
+/// \brief State of a backend server that decides whether it may get new work.
 enum class BackendServerState {
     Live,
-    Leaving, ///< Finishes what it has and gets nothing new.
+    Leaving, ///< Finishes its requests and gets no new ones.
     Dead,
 };
 
-/// \brief A backend server as routers know it from settings, the host list and heartbeats.
+/// \brief A backend server as described by settings, the host list and heartbeats.
 struct BackendServer
 {
     BackendServerId id{};
     std::string name;
-    std::string endpoint; ///< Where its agent listens, for instance "tcp://127.0.0.1:7000".
+    std::string endpoint; ///< Address on which its agent listens, for instance "tcp://127.0.0.1:7000".
     std::string failureDomain;
     std::vector<ModelVersion> served;
-    std::string service; ///< Name of the plain service; empty for a model engine.
+    std::string service; ///< Name of the service that it offers; empty for a model engine.
     BackendServerState state = BackendServerState::Live;
-    std::uint64_t incarnation = 0; ///< Another one means that it started again and knows nothing of before; 0 if it is not told.
+    std::uint64_t incarnation = 0; ///< Changes when the server restarts, which loses its caches and requests; 0 if unknown.
 };
 
-/// \brief The id that belongs to \a name, the same in every process.
+/// \brief Returns the id of the backend server named \a name; it is the same in every process.
 BackendServerId backendServerId(const std::string &name);
 
 } // namespace Verbena::Decisions
--- a/src/libs/decisions/routing/decayingcount.h
+++ b/src/libs/decisions/routing/decayingcount.h
@@ -4,19 +4,19 @@
 
 namespace Verbena::Decisions {
 
-/// \brief A count of events in which older ones weigh less.
+/// \brief Event counter whose value decays exponentially, so that older events count less.
 class DecayingCount
 {
 public:
     /// \brief Counts an event at \a now.
     void add(Core::TimePoint now);
 
-    /// \brief The count as of \a now.
+    /// \brief Returns the decayed count at \a now.
     double at(Core::TimePoint now) const;
 
 private:
     double m_count = 0;
-    Core::TimePoint m_noted{};
+    Core::TimePoint m_updatedAt{};
 };
 
 } // namespace Verbena::Decisions
--- a/src/libs/decisions/routing/placement.cpp
+++ b/src/libs/decisions/routing/placement.cpp
@@ -9,9 +9,9 @@
 
 namespace {
 
-// More probes even out the shares, more points keep two neighbours on the ring from sharing all their keys.
-constexpr std::size_t probeCount = 12;
-constexpr std::size_t pointCount = 4;
+// More probes make the shares more even. More points per server prevent two neighbours on the ring from having all their keys in common.
+constexpr std::size_t probesPerKey = 12;
+constexpr std::size_t pointsPerServer = 4;
 
 std::uint64_t pointPosition(BackendServerId id, std::size_t point)
 {
@@ -23,12 +23,12 @@
     return XXH3_64bits_withSeed(&key, sizeof key, ~std::uint64_t(probe));
 }
 
-struct Ranked
+struct Neighbour
 {
     std::uint64_t distance;
     BackendServerId id;
 
-    bool operator<(const Ranked &other) const
+    bool operator<(const Neighbour &other) const
     {
         return distance != other.distance ? distance < other.distance : id < other.id;
     }
@@ -40,9 +40,9 @@
     : m_members(pool.begin(), pool.end())
 {
     std::sort(m_members.begin(), m_members.end());
-    m_ring.reserve(m_members.size() * pointCount);
+    m_ring.reserve(m_members.size() * pointsPerServer);
     for (const BackendServerId id : m_members) {
-        for (std::size_t point = 0; point < pointCount; ++point) {
+        for (std::size_t point = 0; point < pointsPerServer; ++point) {
             m_ring.push_back({pointPosition(id, point), id});
         }
     }
@@ -51,8 +51,8 @@
     });
 }
 
-// Positions are hashes, so the place of one in the ring can be guessed to within a few steps.
-std::size_t Placement::firstFrom(std::uint64_t position) const
+// Positions are hashes and so evenly distributed: the index of a position can be estimated to within a few steps.
+std::size_t Placement::firstPointAt(std::uint64_t position) const
 {
     const std::size_t size = m_ring.size();
     std::size_t index = ((position >> 32) * size) >> 32;
@@ -65,32 +65,32 @@
     return index == size ? 0 : index;
 }
 
-std::vector<BackendServerId> Placement::ranks(PrefixKey key, std::size_t count) const
+std::vector<BackendServerId> Placement::nearest(PrefixKey key, std::size_t count) const
 {
     std::vector<BackendServerId> result;
     const std::size_t wanted = std::min(count, m_members.size());
     if (wanted == 0) {
         return result;
     }
-    std::array<std::uint64_t, probeCount> probes{};
-    std::array<std::size_t, probeCount> nexts{};
-    for (std::size_t probe = 0; probe < probeCount; ++probe) {
+    std::array<std::uint64_t, probesPerKey> probes{};
+    std::array<std::size_t, probesPerKey> nextPoints{};
+    for (std::size_t probe = 0; probe < probesPerKey; ++probe) {
         probes[probe] = probePosition(key, probe);
-        nexts[probe] = firstFrom(probes[probe]);
+        nextPoints[probe] = firstPointAt(probes[probe]);
     }
     result.reserve(wanted);
     while (result.size() < wanted) {
-        std::size_t nearest = 0;
-        Ranked best{~std::uint64_t{0}, BackendServerId(~std::uint64_t{0})};
-        for (std::size_t probe = 0; probe < probeCount; ++probe) {
-            const Point &point = m_ring[nexts[probe]];
-            const Ranked ranked{point.position - probes[probe], point.id};
-            if (ranked < best) {
-                best = ranked;
-                nearest = probe;
+        std::size_t nearestProbe = 0;
+        Neighbour best{~std::uint64_t{0}, BackendServerId(~std::uint64_t{0})};
+        for (std::size_t probe = 0; probe < probesPerKey; ++probe) {
+            const Point &point = m_ring[nextPoints[probe]];
+            const Neighbour neighbour{point.position - probes[probe], point.id};
+            if (neighbour < best) {
+                best = neighbour;
+                nearestProbe = probe;
             }
         }
-        nexts[nearest] = nexts[nearest] + 1 == m_ring.size() ? 0 : nexts[nearest] + 1;
+        nextPoints[nearestProbe] = nextPoints[nearestProbe] + 1 == m_ring.size() ? 0 : nextPoints[nearestProbe] + 1;
         if (std::find(result.begin(), result.end(), best.id) == result.end()) {
             result.push_back(best.id);
         }
@@ -106,8 +106,8 @@
 std::uint64_t Placement::distance(PrefixKey key, BackendServerId id)
 {
     std::uint64_t nearest = ~std::uint64_t{0};
-    for (std::size_t probe = 0; probe < probeCount; ++probe) {
-        for (std::size_t point = 0; point < pointCount; ++point) {
+    for (std::size_t probe = 0; probe < probesPerKey; ++probe) {
+        for (std::size_t point = 0; point < pointsPerServer; ++point) {
             nearest = std::min(nearest, pointPosition(id, point) - probePosition(key, probe));
         }
     }
--- a/src/libs/decisions/routing/placement.h
+++ b/src/libs/decisions/routing/placement.h
@@ -8,26 +8,25 @@
 
 namespace Verbena::Decisions {
 
-/// \brief Ranks the backend servers of one pool for any key, the same on every router.
+/// \brief Orders the backend servers of one pool by their distance to a key, the same on every router.
 ///
-/// Every pair of key and backend server has a distance that depends on nothing else, and the nearest ranks first; so the loss of one
-/// backend server moves only the keys it was home of. The distance is that of multi-probe consistent hashing, which finds the nearest
-/// without looking at all.
+/// The distance depends only on the key and the backend server, so the loss of one backend server moves only the keys whose home it was.
+/// It is that of multi-probe consistent hashing, which finds the nearest members without visiting all of them.
 class Placement
 {
 public:
     Placement() = default;
 
-    /// \brief Places the backend servers of \a pool, in any order.
+    /// \brief Creates a placement of the backend servers of \a pool, which may be in any order.
     explicit Placement(std::span<const BackendServerId> pool);
 
-    /// \brief The \a count backend servers that rank highest for \a key, best first; fewer if the pool is smaller.
-    std::vector<BackendServerId> ranks(PrefixKey key, std::size_t count) const;
+    /// \brief Returns the \a count backend servers that are nearest to \a key, nearest first; fewer if the pool is smaller.
+    std::vector<BackendServerId> nearest(PrefixKey key, std::size_t count) const;
 
-    /// \brief All backend servers of the pool, ordered by id.
+    /// \brief Returns all backend servers of the pool, ordered by id.
     const std::vector<BackendServerId> &members() const;
 
-    /// \brief The distance that ranks \a id for \a key.
+    /// \brief Returns the distance between \a key and the backend server \a id on the hash ring.
     static std::uint64_t distance(PrefixKey key, BackendServerId id);
 
 private:
@@ -37,7 +36,7 @@
         BackendServerId id;
     };
 
-    std::size_t firstFrom(std::uint64_t position) const;
+    std::size_t firstPointAt(std::uint64_t position) const;
 
     std::vector<BackendServerId> m_members;
     std::vector<Point> m_ring; ///< Ordered by position.
--- a/src/libs/decisions/routing/prefixchain.cpp
+++ b/src/libs/decisions/routing/prefixchain.cpp
@@ -6,16 +6,16 @@
 
 namespace {
 
-PrefixKey chain(PrefixKey parent, const void *data, std::size_t size)
+PrefixKey chainBytes(PrefixKey parent, const void *data, std::size_t size)
 {
     return PrefixKey(XXH3_64bits_withSeed(data, size, static_cast<std::uint64_t>(parent)));
 }
 
-// Each part is hashed with its length, so that "ab" + "c" and "a" + "bc" differ.
+// Hashes each text with its length, so that the sequences "ab", "c" and "a", "bc" get different keys.
 PrefixKey chainText(PrefixKey parent, const std::string &text)
 {
     const std::uint64_t size = text.size();
-    return chain(chain(parent, &size, sizeof size), text.data(), text.size());
+    return chainBytes(chainBytes(parent, &size, sizeof size), text.data(), text.size());
 }
 
 PrefixKey rootOf(const PrefixScope &scope)
@@ -43,7 +43,7 @@
     PrefixChain result(rootOf(scope));
     PrefixKey key = result.m_root;
     for (std::size_t begin = 0; begin + pieceBytes <= prompt.size(); begin += pieceBytes) {
-        key = chain(key, prompt.data() + begin, pieceBytes);
+        key = chainBytes(key, prompt.data() + begin, pieceBytes);
         result.m_keys.push_back(key);
     }
     return result;
@@ -54,7 +54,7 @@
     PrefixChain result(rootOf(scope));
     PrefixKey key = result.m_root;
     for (std::size_t begin = 0; begin + pieceTokens <= tokens.size(); begin += pieceTokens) {
-        key = chain(key, tokens.data() + begin, pieceTokens * sizeof(std::uint32_t));
+        key = chainBytes(key, tokens.data() + begin, pieceTokens * sizeof(std::uint32_t));
         result.m_keys.push_back(key);
     }
     return result;
--- a/src/libs/decisions/routing/prefixchain.h
+++ b/src/libs/decisions/routing/prefixchain.h
@@ -10,29 +10,31 @@
 
 namespace Verbena::Decisions {
 
-/// \brief Names one prompt prefix of one organisation under one version of weights.
+/// \brief Identifies a prompt prefix of one organisation for one model version.
 enum class PrefixKey : std::uint64_t {};
 
-/// \brief What a prefix key is rooted in: entries of another scope can never have the same key, but for hash collisions.
+/// \brief Organisation and model version to which a prefix key belongs; keys of different scopes differ, except for hash collisions.
 struct PrefixScope
 {
     std::string organisation;
     ModelVersion version;
 };
 
-/// \brief Keys of the prefixes of a prompt, from shallow to deep; key i stands for pieces 0 to i.
+/// \brief Keys of all prefixes of a prompt, from the shortest to the longest; key i covers the pieces 0 to i.
 class PrefixChain
 {
 public:
-    /// \brief Cuts \a prompt every \a pieceBytes bytes; a last part that is shorter gets no key, as engines keep whole pieces only.
+    /// \brief Returns the keys for \a prompt in pieces of \a pieceBytes bytes.
+    ///
+    /// A shorter last piece gets no key, as engines cache whole pieces only.
     static PrefixChain fromText(const PrefixScope &scope, std::string_view prompt, std::size_t pieceBytes);
 
-    /// \brief Cuts token ids every \a pieceTokens tokens.
+    /// \brief Returns the keys for the token ids \a tokens in pieces of \a pieceTokens tokens; a shorter last piece gets no key.
     static PrefixChain fromTokens(const PrefixScope &scope, std::span<const std::uint32_t> tokens, std::size_t pieceTokens);
 
     const std::vector<PrefixKey> &keys() const;
 
-    /// \brief Key of the scope itself, for prompts without a whole piece.
+    /// \brief Returns the key of the scope itself, which stands in for prompts without a whole piece.
     PrefixKey root() const;
 
 private:
--- a/src/libs/decisions/routing/routechooser.cpp
+++ b/src/libs/decisions/routing/routechooser.cpp
@@ -12,28 +12,30 @@
 
 namespace {
 
-// Seen at least twice of late: anything less says nothing about what other requests share.
-constexpr double sharedDemand = 0.7;
-// Of the work of an average backend server: a prefix in more demand is handed over to deeper ones, or shared by several homes.
-constexpr double homePart = 1.0;
-// Requests that say something of how much a prefix is asked for. In a large fleet a router sends each backend server less than one request in the time that
-// is counted, and each prompt that it sees once would seem to be in more demand than that.
-constexpr double leastHotDemand = 4;
-// Where demand falls by this factor, a shared prefix ends and a deeper one begins.
+// Minimum demand, in decayed requests, of a shared prefix: one recent request besides the current one. A lower demand does not show that
+// other requests share the prefix.
+constexpr double minimumSharedDemand = 0.7;
+// Maximum demand per home, in multiples of the demand of an average backend server. A prefix with more demand is replaced by longer
+// ones or gets several homes.
+constexpr double maximumDemandPerHome = 1.0;
+// Minimum demand, in decayed requests, of a prefix with several homes. In a large fleet one router sends each backend server less than one
+// request within the time constant of the count, so without this limit a prompt that it sees once would exceed the demand per server.
+constexpr double minimumHotDemand = 4;
+// Factor by which demand falls from a shared prefix to the next longer one.
 constexpr double branchFactor = 1.2;
-constexpr std::size_t maximumHolders = 4;
-constexpr std::size_t loadDraws = 4;
+constexpr std::size_t maximumHolderCandidates = 4;
+constexpr std::size_t loadSamples = 4; // Random backend servers of which the least loaded becomes a candidate.
 constexpr std::size_t spareCount = 1;
-constexpr std::size_t spareRanks = 4; ///< Looked up on top, in case that the first ones may not be used.
-constexpr std::chrono::milliseconds idleWait{50};
-constexpr double tieMicroseconds = 1000;
+constexpr std::size_t extraNeighbours = 4; // Looked up in addition, as the nearest backend servers may be unusable.
+constexpr std::chrono::milliseconds idleWait{50}; // A backend server with a shorter expected wait counts as idle.
+constexpr double tieMicroseconds = 1000; // Maximum random part of a score, which breaks ties.
 
 } // namespace
 
 RouteChooser::RouteChooser(RoutingOptions options)
     : m_options(options)
     , m_loads(options.hintLifetime)
-    , m_keys(options.keyTableSize)
+    , m_prefixes(options.prefixTableSize)
 {
 }
 
@@ -42,7 +44,7 @@
     std::map<ModelVersion, std::vector<BackendServerId>> models;
     std::map<std::string, std::vector<BackendServerId>> services;
     std::map<std::pair<ModelVersion, std::string>, std::vector<BackendServerId>> domains;
-    std::unordered_map<BackendServerId, BackendServer> known;
+    std::unordered_map<BackendServerId, BackendServer> updated;
     for (BackendServer &server : servers) {
         if (server.state == BackendServerState::Live) {
             for (const ModelVersion &version : server.served) {
@@ -53,17 +55,17 @@
                 services[server.service].push_back(server.id);
             }
         }
-        known.emplace(server.id, std::move(server));
+        updated.emplace(server.id, std::move(server));
     }
     for (const auto &[id, server] : m_servers) {
-        const auto now = known.find(id);
-        if (now == known.end()) {
+        const auto current = updated.find(id);
+        if (current == updated.end()) {
             m_loads.remove(id);
-        } else if (server.incarnation != 0 && now->second.incarnation != server.incarnation) {
-            m_loads.restart(id, now->second.incarnation);
+        } else if (server.incarnation != 0 && current->second.incarnation != server.incarnation) {
+            m_loads.markRestarted(id, current->second.incarnation);
         }
     }
-    m_servers = std::move(known);
+    m_servers = std::move(updated);
     setPools(m_models, models);
     setPools(m_services, services);
     m_domains.clear();
@@ -81,58 +83,58 @@
     }
 }
 
-void RouteChooser::noteLoad(BackendServerId id, const LoadReport &report, Core::TimePoint now)
+void RouteChooser::updateLoad(BackendServerId id, const LoadReport &report, Core::TimePoint now)
 {
     if (m_servers.contains(id)) {
-        m_loads.noteReport(id, report, now);
+        m_loads.updateReport(id, report, now);
     }
 }
 
-void RouteChooser::noteDispatched(BackendServerId id, const RouteQuery &query, microseconds work, Core::TimePoint now)
+void RouteChooser::recordDispatch(BackendServerId id, const RouteQuery &query, microseconds work, Core::TimePoint now)
 {
     ++m_dispatches;
     if (!m_servers.contains(id)) {
         return;
     }
-    m_loads.noteSent(id, work);
+    m_loads.recordSent(id, work);
     if (Pool *pool = const_cast<Pool *>(poolFor(query))) {
         pool->demand.add(now);
     }
     for (const PrefixKey key : query.keys) {
-        m_keys.noteDemand(key, now);
+        m_prefixes.recordRequest(key, now);
     }
-    noteHolder(id, query, now);
+    recordHolder(id, query, now);
 }
 
-void RouteChooser::noteReply(BackendServerId id, const RouteQuery &query, std::uint32_t, microseconds work, Core::TimePoint now)
+void RouteChooser::recordReply(BackendServerId id, const RouteQuery &query, std::uint32_t, microseconds work, Core::TimePoint now)
 {
-    m_loads.noteAnswered(id, work);
+    m_loads.recordAnswered(id, work);
     if (m_servers.contains(id)) {
-        noteHolder(id, query, now);
+        recordHolder(id, query, now);
     }
 }
 
-void RouteChooser::noteProbe(BackendServerId id, const RouteQuery &query, std::uint32_t warmPieces, const LoadReport &report, Core::TimePoint now)
+void RouteChooser::recordProbe(BackendServerId id, const RouteQuery &query, std::uint32_t warmPieces, const LoadReport &report, Core::TimePoint now)
 {
     if (!m_servers.contains(id)) {
         return;
     }
-    m_loads.noteReport(id, report, now);
-    const PrefixHolder holder{id, m_loads.epoch(id), now + m_options.holderLifetime};
+    m_loads.updateReport(id, report, now);
+    const PrefixHolder holder{id, m_loads.incarnation(id), now + m_options.holderLifetime};
     for (std::size_t piece = 0; piece < query.keys.size(); ++piece) {
         if (piece < warmPieces) {
-            m_keys.noteHolder(query.keys[piece], holder);
+            m_prefixes.setHolder(query.keys[piece], holder);
         } else {
-            m_keys.forgetHolder(query.keys[piece], id);
+            m_prefixes.removeHolder(query.keys[piece], id);
         }
     }
 }
 
-void RouteChooser::noteRefusal(BackendServerId id, const RouteQuery &query, const RouteRefusal &refusal, microseconds work, Core::TimePoint now)
+void RouteChooser::recordRefusal(BackendServerId id, const RouteQuery &query, const RouteRefusal &refusal, microseconds work, Core::TimePoint now)
 {
-    m_loads.noteAnswered(id, work);
+    m_loads.recordAnswered(id, work);
     for (const PrefixKey key : query.keys) {
-        m_keys.forgetHolder(key, id);
+        m_prefixes.removeHolder(key, id);
     }
     if (!m_servers.contains(id)) {
         return;
@@ -141,26 +143,26 @@
         m_loads.pause(id, now + (refusal.retryAfter > microseconds(0) ? refusal.retryAfter : m_options.refusalPause));
     }
     if (refusal.redirect.has_value() && m_servers.contains(*refusal.redirect)) {
-        noteHolder(*refusal.redirect, query, now);
+        recordHolder(*refusal.redirect, query, now);
     }
 }
 
-void RouteChooser::noteNoAnswer(BackendServerId id, microseconds work)
+void RouteChooser::recordNoAnswer(BackendServerId id, microseconds work)
 {
-    m_loads.noteAnswered(id, work);
+    m_loads.recordAnswered(id, work);
 }
 
-void RouteChooser::noteHeat(PrefixKey key, std::uint32_t width, Core::TimePoint deadline)
+void RouteChooser::setHomeCount(PrefixKey key, std::uint32_t homeCount, Core::TimePoint validUntil)
 {
-    m_keys.noteWidth(key, width, deadline);
+    m_prefixes.setHomeCount(key, homeCount, validUntil);
 }
 
-// The requests that an agent received it computes or has, whatever it found warm.
-void RouteChooser::noteHolder(BackendServerId id, const RouteQuery &query, Core::TimePoint now)
+// An agent caches or computes every prefix of a request that it received, regardless of how much it reported as warm.
+void RouteChooser::recordHolder(BackendServerId id, const RouteQuery &query, Core::TimePoint now)
 {
-    const PrefixHolder holder{id, m_loads.epoch(id), now + m_options.holderLifetime};
+    const PrefixHolder holder{id, m_loads.incarnation(id), now + m_options.holderLifetime};
     for (const PrefixKey key : query.keys) {
-        m_keys.noteHolder(key, holder);
+        m_prefixes.setHolder(key, holder);
     }
 }
 
@@ -174,7 +176,7 @@
     return found == m_models.end() ? nullptr : &found->second;
 }
 
-// Where the homes of the prompt are: in its own failure domain as long as that has any backend server for it.
+// The homes of a prompt are in its own failure domain as long as that contains a backend server for the model version.
 const Placement &RouteChooser::homePlacement(const Search &search) const
 {
     const auto domain = m_domains.find({search.query.version, search.query.homeDomain});
@@ -188,18 +190,18 @@
         return {};
     }
     Search search{query, now, *pool, {}};
-    const Level home = homeLevel(search);
+    const SharedPrefix home = homePrefix(search);
     addHomes(search, home, CandidateOrigin::Home);
     addSpares(search, home);
-    if (const std::optional<Level> deeper = deeperLevel(search, home)) {
+    if (const std::optional<SharedPrefix> deeper = deeperSharedPrefix(search, home)) {
         addHomes(search, *deeper, CandidateOrigin::DeepHome);
     }
     addHolders(search);
-    addByLoad(search);
+    addLeastLoaded(search);
     if (search.candidates.empty()) {
-        addAny(search);
+        addFallback(search);
     }
-    return ranked(std::move(search));
+    return rankCandidates(std::move(search));
 }
 
 RouteDecision RouteChooser::chooseAmong(const RouteDecision &candidates, const RouteQuery &query, Core::TimePoint now) const
@@ -215,61 +217,61 @@
             addCandidate(search, candidate.id, candidate.origin, 0);
         }
     }
-    return search.candidates.empty() ? choose(query, now) : ranked(std::move(search));
+    return search.candidates.empty() ? choose(query, now) : rankCandidates(std::move(search));
 }
 
-RouteDecision RouteChooser::ranked(Search search) const
+RouteDecision RouteChooser::rankCandidates(Search search) const
 {
     for (RouteCandidate &candidate : search.candidates) {
-        weigh(candidate, search);
+        evaluate(candidate, search);
     }
     std::sort(search.candidates.begin(), search.candidates.end(), [](const RouteCandidate &left, const RouteCandidate &right) {
         return left.score != right.score ? left.score < right.score : left.id < right.id;
     });
-    return withoutOverloaded(std::move(search));
+    return applyOverloadLevels(std::move(search));
 }
 
-// The shallowest prefix that fits one backend server: so all that share it meet in one cache. Each router sees the same part of the
-// whole demand, so all find nearly the same level without a word between them.
-RouteChooser::Level RouteChooser::homeLevel(const Search &search) const
+// Returns the shortest prefix that one backend server can serve, so that all requests that share it use the same cache. Each router sees
+// the same fraction of the total demand, so all routers find nearly the same prefix without communication.
+RouteChooser::SharedPrefix RouteChooser::homePrefix(const Search &search) const
 {
     const std::vector<PrefixKey> &keys = search.query.keys;
     if (m_options.isPlacedByWholePrompt && !keys.empty()) {
-        return {keys.size(), keys.back(), homeCount(search, m_keys.demand(keys.back(), search.now))};
+        return {keys.size(), keys.back(), homeCount(search, m_prefixes.demand(keys.back(), search.now))};
     }
-    Level level{0, keys.empty() ? search.query.root : keys.front(), 1};
+    SharedPrefix prefix{0, keys.empty() ? search.query.root : keys.front(), 1};
     for (std::size_t piece = 0; piece < keys.size(); ++piece) {
-        const double demand = m_keys.demand(keys[piece], search.now);
-        if (demand < sharedDemand) {
+        const double demand = m_prefixes.demand(keys[piece], search.now);
+        if (demand < minimumSharedDemand) {
             break;
         }
-        level = {piece + 1, keys[piece], homeCount(search, demand)};
-        if (level.width == 1) {
+        prefix = {piece + 1, keys[piece], homeCount(search, demand)};
+        if (prefix.homeCount == 1) {
             break;
         }
     }
-    return level;
+    return prefix;
 }
 
-// So many that each has the work of an average backend server at most.
+// Returns the number of homes with which each has at most the demand of an average backend server.
 std::size_t RouteChooser::homeCount(const Search &search, double demand) const
 {
     const double perServer = search.pool.demand.at(search.now) / static_cast<double>(search.pool.placement.members().size());
-    if (demand < leastHotDemand || demand <= perServer * homePart) {
+    if (demand < minimumHotDemand || demand <= perServer * maximumDemandPerHome) {
         return 1;
     }
-    const double homes = std::ceil(demand / (perServer * homePart));
+    const double homes = std::ceil(demand / (perServer * maximumDemandPerHome));
     return static_cast<std::size_t>(std::clamp(homes, 1.0, static_cast<double>(m_options.maximumHomes)));
 }
 
-std::optional<RouteChooser::Level> RouteChooser::deeperLevel(const Search &search, const Level &level) const
+std::optional<RouteChooser::SharedPrefix> RouteChooser::deeperSharedPrefix(const Search &search, const SharedPrefix &prefix) const
 {
     const std::vector<PrefixKey> &keys = search.query.keys;
-    const double above = m_keys.demand(level.key, search.now);
-    for (std::size_t piece = level.pieces; piece < keys.size(); ++piece) {
-        const double demand = m_keys.demand(keys[piece], search.now);
+    const double above = m_prefixes.demand(prefix.key, search.now);
+    for (std::size_t piece = prefix.pieces; piece < keys.size(); ++piece) {
+        const double demand = m_prefixes.demand(keys[piece], search.now);
         if (demand * branchFactor < above) {
-            return demand < sharedDemand ? std::nullopt : std::optional(Level{piece + 1, keys[piece], 1});
+            return demand < minimumSharedDemand ? std::nullopt : std::optional(SharedPrefix{piece + 1, keys[piece], 1});
         }
     }
     return std::nullopt;
@@ -296,49 +298,49 @@
     return true;
 }
 
-// The deepest key with a holder names the backend servers that can save most.
+// Holders of the longest prefix come first, as they save the most prefill.
 void RouteChooser::addHolders(Search &search) const
 {
     const std::vector<BackendServerId> &members = search.pool.placement.members();
     std::size_t added = 0;
-    for (std::size_t pieces = search.query.keys.size(); pieces > 0 && added < maximumHolders; --pieces) {
-        const KeyRecord *record = m_keys.find(search.query.keys[pieces - 1]);
+    for (std::size_t pieces = search.query.keys.size(); pieces > 0 && added < maximumHolderCandidates; --pieces) {
+        const PrefixRecord *record = m_prefixes.find(search.query.keys[pieces - 1]);
         if (record == nullptr) {
             continue;
         }
         for (const PrefixHolder &holder : record->holders) {
-            const bool isWarm = search.now < holder.deadline && holder.epoch == m_loads.epoch(holder.id);
-            if (isWarm && added < maximumHolders && std::binary_search(members.begin(), members.end(), holder.id)) {
+            const bool isWarm = search.now < holder.validUntil && holder.incarnation == m_loads.incarnation(holder.id);
+            if (isWarm && added < maximumHolderCandidates && std::binary_search(members.begin(), members.end(), holder.id)) {
                 added += addCandidate(search, holder.id, CandidateOrigin::Holder, pieces) ? 1 : 0;
             }
         }
     }
 }
 
-// Without probes a home counts as warm even before it is: what is missing has to be computed once, and best where the next request
-// will look for it. With probes the least loaded of homes and spares takes a cold prefix, and the others find it there.
-void RouteChooser::addHomes(Search &search, const Level &level, CandidateOrigin origin) const
+// Without probes a home counts as warm even if it is not: the missing pieces have to be computed once anyway, preferably where the next
+// request will look for them. With probes the least loaded of homes and spares gets a cold prefix, and later requests find it there.
+void RouteChooser::addHomes(Search &search, const SharedPrefix &prefix, CandidateOrigin origin) const
 {
-    std::size_t left = level.width;
-    for (const BackendServerId id : homePlacement(search).ranks(level.key, level.width + spareRanks)) {
-        if (left > 0 && isUsable(id, search.query, search.now)) {
-            --left;
-            addCandidate(search, id, origin, m_options.isProbing || origin != CandidateOrigin::Home ? 0 : level.pieces);
+    std::size_t remaining = prefix.homeCount;
+    for (const BackendServerId id : homePlacement(search).nearest(prefix.key, prefix.homeCount + extraNeighbours)) {
+        if (remaining > 0 && isUsable(id, search.query, search.now)) {
+            --remaining;
+            addCandidate(search, id, origin, m_options.isProbing || origin != CandidateOrigin::Home ? 0 : prefix.pieces);
         }
     }
 }
 
-// Where the overflow of the homes goes on every router.
-void RouteChooser::addSpares(Search &search, const Level &level) const
+// The overflow of the homes goes to the same spare on every router.
+void RouteChooser::addSpares(Search &search, const SharedPrefix &prefix) const
 {
-    std::size_t left = spareCount;
-    for (const BackendServerId id : homePlacement(search).ranks(level.key, level.width + spareRanks)) {
-        left -= left > 0 && addCandidate(search, id, CandidateOrigin::Spare, 0) ? 1 : 0;
+    std::size_t remaining = spareCount;
+    for (const BackendServerId id : homePlacement(search).nearest(prefix.key, prefix.homeCount + extraNeighbours)) {
+        remaining -= remaining > 0 && addCandidate(search, id, CandidateOrigin::Spare, 0) ? 1 : 0;
     }
 }
 
-// Of a few drawn at random the least loaded; those of failure domains that are not among the candidates go first.
-void RouteChooser::addByLoad(Search &search) const
+// Adds the least loaded of a few random backend servers; those of failure domains without a candidate take precedence.
+void RouteChooser::addLeastLoaded(Search &search) const
 {
     const std::vector<BackendServerId> &members = search.pool.placement.members();
     const auto isNewDomain = [&](BackendServerId id) {
@@ -347,13 +349,13 @@
             search.candidates.begin(), search.candidates.end(), [&](const RouteCandidate &candidate) { return server(candidate.id)->failureDomain == domain; });
     };
     std::optional<BackendServerId> best;
-    for (std::size_t i = 0; i < loadDraws; ++i) {
-        const BackendServerId id = members[draw(search.query, i) % members.size()];
+    for (std::size_t i = 0; i < loadSamples; ++i) {
+        const BackendServerId id = members[randomValue(search.query, i) % members.size()];
         if (!isUsable(id, search.query, search.now)) {
             continue;
         }
         const auto wait = [&](BackendServerId other) {
-            return m_loads.wait(other, search.now);
+            return m_loads.expectedWait(other, search.now);
         };
         if (!best.has_value() || std::pair(!isNewDomain(id), wait(id)) < std::pair(!isNewDomain(*best), wait(*best))) {
             best = id;
@@ -364,11 +366,11 @@
     }
 }
 
-// Only if nothing else may be used: looks at all, from a place drawn at random.
-void RouteChooser::addAny(Search &search) const
+// Adds the first usable backend server, searching all of them from a random position. Called only if there is no other candidate.
+void RouteChooser::addFallback(Search &search) const
 {
     const std::vector<BackendServerId> &members = search.pool.placement.members();
-    const std::size_t first = draw(search.query, loadDraws) % members.size();
+    const std::size_t first = randomValue(search.query, loadSamples) % members.size();
     for (std::size_t i = 0; i < members.size() && search.candidates.empty(); ++i) {
         addCandidate(search, members[(first + i) % members.size()], CandidateOrigin::Load, 0);
     }
@@ -377,12 +379,12 @@
 std::uint32_t RouteChooser::warmPieces(BackendServerId id, const RouteQuery &query, Core::TimePoint now) const
 {
     for (std::size_t pieces = query.keys.size(); pieces > 0; --pieces) {
-        const KeyRecord *record = m_keys.find(query.keys[pieces - 1]);
+        const PrefixRecord *record = m_prefixes.find(query.keys[pieces - 1]);
         if (record == nullptr) {
             continue;
         }
         for (const PrefixHolder &holder : record->holders) {
-            if (holder.id == id && now < holder.deadline && holder.epoch == m_loads.epoch(id)) {
+            if (holder.id == id && now < holder.validUntil && holder.incarnation == m_loads.incarnation(id)) {
                 return static_cast<std::uint32_t>(pieces);
             }
         }
@@ -390,28 +392,28 @@
     return 0;
 }
 
-void RouteChooser::weigh(RouteCandidate &candidate, const Search &search) const
+void RouteChooser::evaluate(RouteCandidate &candidate, const Search &search) const
 {
     const RouteQuery &query = search.query;
     const auto pieces = static_cast<std::uint32_t>(query.keys.size());
     const microseconds perPiece = m_loads.prefillPerPiece(candidate.id, m_options.prefillPerPiece);
     const bool isImportCheaper = m_options.importPerPiece > microseconds(0) && m_options.importPerPiece < perPiece;
-    if (isImportCheaper && query.keptPieces > candidate.warmPieces) {
-        candidate.importedPieces = std::min(query.keptPieces, pieces) - candidate.warmPieces;
+    if (isImportCheaper && query.storedPieces > candidate.warmPieces) {
+        candidate.importedPieces = std::min(query.storedPieces, pieces) - candidate.warmPieces;
     }
-    candidate.wait = m_loads.wait(candidate.id, search.now);
+    candidate.wait = m_loads.expectedWait(candidate.id, search.now);
     candidate.import = candidate.importedPieces * m_options.importPerPiece;
     candidate.prefill = (pieces - candidate.warmPieces - candidate.importedPieces) * perPiece;
     const RoutingWeights &weights = m_options.weights;
-    const auto first = static_cast<double>((candidate.wait + candidate.import + candidate.prefill).count());
-    const auto again = static_cast<double>(candidate.prefill.count());
-    const auto tie = static_cast<double>(draw(query, static_cast<std::uint64_t>(candidate.id)) % 1024) / 1024;
-    candidate.score = weights.timeToFirstToken * first + weights.recomputation * again + tie * tieMicroseconds;
+    const auto timeToFirstToken = static_cast<double>((candidate.wait + candidate.import + candidate.prefill).count());
+    const auto recomputation = static_cast<double>(candidate.prefill.count());
+    const auto tie = static_cast<double>(randomValue(query, static_cast<std::uint64_t>(candidate.id)) % 1024) / 1024;
+    candidate.score = weights.timeToFirstToken * timeToFirstToken + weights.recomputation * recomputation + tie * tieMicroseconds;
 }
 
-// Refusing here costs nothing. Elsewhere the prompt is cold and would push others out, so only an idle backend server takes it in place
-// of the best: that spreads a hot prefix while there is room, and refuses it when there is none.
-RouteDecision RouteChooser::withoutOverloaded(Search search) const
+// Refusing a request in the router costs no work of a backend server. At other backend servers than the best its prompt is cold and would
+// evict other prefixes, so only an idle one may replace the best: this spreads a hot prefix while there is capacity and refuses it otherwise.
+RouteDecision RouteChooser::applyOverloadLevels(Search search) const
 {
     std::vector<RouteCandidate> &candidates = search.candidates;
     const auto isRefusing = [&](const RouteCandidate &candidate) {
@@ -436,16 +438,16 @@
     return missing * m_loads.prefillPerPiece(id, m_options.prefillPerPiece);
 }
 
-// Repeatable for a seed, and new for each request.
-std::uint64_t RouteChooser::draw(const RouteQuery &query, std::uint64_t number) const
+// Computed by hashing: reproducible for a seed and different for each request.
+std::uint64_t RouteChooser::randomValue(const RouteQuery &query, std::uint64_t number) const
 {
     const std::array<std::uint64_t, 3> parts{m_dispatches, static_cast<std::uint64_t>(query.root), number};
     return XXH3_64bits_withSeed(parts.data(), sizeof parts, m_options.seed);
 }
 
-microseconds RouteChooser::unanswered(BackendServerId id) const
+microseconds RouteChooser::unansweredWork(BackendServerId id) const
 {
-    return m_loads.unanswered(id);
+    return m_loads.unansweredWork(id);
 }
 
 const BackendServer *RouteChooser::server(BackendServerId id) const
--- a/src/libs/decisions/routing/routedecision.h
+++ b/src/libs/decisions/routing/routedecision.h
@@ -9,35 +9,35 @@
 
 namespace Verbena::Decisions {
 
-/// \brief Why a backend server was weighed.
+/// \brief Reason for which a backend server became a candidate.
 enum class CandidateOrigin {
-    Home, ///< Home of the shallowest shared prefix that one backend server can serve.
-    Spare, ///< Ranks next to the homes.
-    DeepHome, ///< Home of the next deeper shared prefix.
-    Holder, ///< Was sent one of the prefixes lately.
-    Load, ///< The least loaded of a few drawn at random.
+    Home, ///< A home of the shortest shared prefix that one backend server can serve.
+    Spare, ///< The next nearest backend server after the homes.
+    DeepHome, ///< Home of the next longer shared prefix.
+    Holder, ///< A recent receiver of one of the prefixes.
+    Load, ///< The least loaded of a few random backend servers.
 };
 
-/// \brief One weighed backend server with the parts of its score.
+/// \brief A candidate backend server with the components of its score.
 struct RouteCandidate
 {
     BackendServerId id{};
     CandidateOrigin origin = CandidateOrigin::Home;
-    std::uint32_t warmPieces = 0; ///< Believed to be in its cache.
-    std::uint32_t importedPieces = 0; ///< Cheaper to import from the kept KV cache than to compute.
-    std::chrono::microseconds wait{0}; ///< Expected until prefill begins.
-    std::chrono::microseconds prefill{0}; ///< Of the pieces that are missing.
-    std::chrono::microseconds import{0}; ///< Of the imported pieces.
-    double score = 0; ///< Microseconds, weighted; lower is better.
+    std::uint32_t warmPieces = 0; ///< Number of leading pieces that are assumed to be in its cache.
+    std::uint32_t importedPieces = 0; ///< Number of pieces that are cheaper to import from the KV store than to compute.
+    std::chrono::microseconds wait{0}; ///< Expected time until prefill begins.
+    std::chrono::microseconds prefill{0}; ///< Expected time to compute the missing pieces.
+    std::chrono::microseconds import{0}; ///< Expected time to import importedPieces.
+    double score = 0; ///< Weighted sum of the times above in microseconds; lower is better.
 };
 
-/// \brief Where a request should go, with the reasons.
+/// \brief Candidates for a request with the reasons for their order.
 struct RouteDecision
 {
-    std::vector<RouteCandidate> candidates; ///< Best first; empty if no backend server may serve the request.
-    bool isOverloaded = false; ///< The best candidate refuses the request's mark: it should be refused before it costs anything.
+    std::vector<RouteCandidate> candidates; ///< Candidates, best first; empty if no backend server may serve the request.
+    bool isOverloaded = false; ///< Whether the best candidate refuses the request's mark, so that the router should refuse the request itself.
 
-    /// \brief The best candidate, or nothing if there is none or the request should be refused.
+    /// \brief Returns the best candidate, or nothing if there is none or the request should be refused.
     std::optional<BackendServerId> best() const;
 };
 
--- a/src/libs/decisions/routing/routequery.h
+++ b/src/libs/decisions/routing/routequery.h
@@ -8,17 +8,17 @@
 
 namespace Verbena::Decisions {
 
-/// \brief What a request needs of a backend server.
+/// \brief Requirements of a request on the backend server that serves it.
 struct RouteQuery
 {
-    ModelVersion version; ///< For a completion.
-    std::string service; ///< For a call of a plain service; then version is empty.
-    std::vector<PrefixKey> keys; ///< Shallow to deep.
-    PrefixKey root{};
-    std::string homeDomain; ///< Failure domain in which the homes of the prompt are; empty if they may be anywhere.
-    std::uint32_t keptPieces = 0; ///< Leading pieces that the store of kept KV cache can hand out.
-    std::uint32_t mark = 0; ///< Agents whose overload level is at or below it refuse the request.
-    std::vector<BackendServerId> excluded; ///< Tried before, or refused.
+    ModelVersion version; ///< Model version for a completion; empty for a service call.
+    std::string service; ///< Name of the service for a service call; empty for a completion.
+    std::vector<PrefixKey> keys; ///< Keys of the prefixes of the prompt, shortest first.
+    PrefixKey root{}; ///< Key of the scope, for prompts without a whole piece.
+    std::string homeDomain; ///< Failure domain that contains the homes of the prompt; empty if they may be in any.
+    std::uint32_t storedPieces = 0; ///< Number of leading pieces that can be imported from the KV store.
+    std::uint32_t mark = 0; ///< Mark of the request; agents whose overload level is at or below it refuse the request.
+    std::vector<BackendServerId> excluded; ///< Backend servers that must not be chosen, as they were tried before or refused the request.
 };
 
 } // namespace Verbena::Decisions
--- a/src/libs/decisions/routing/routingoptions.cpp
+++ b/src/libs/decisions/routing/routingoptions.cpp
@@ -2,8 +2,9 @@
 
 namespace Verbena::Decisions {
 
-// Even where only the tail time counts, a piece computed twice makes those behind it wait and drives another out of the cache.
-RoutingWeights RoutingWeights::forTailTime()
+// Recomputation counts even where only the tail latency matters: computing a piece again delays the requests behind it and evicts another
+// piece from the cache.
+RoutingWeights RoutingWeights::forTailLatency()
 {
     return {1.0, 5.0};
 }
--- a/src/libs/decisions/routing/serverloads.cpp
+++ b/src/libs/decisions/routing/serverloads.cpp
@@ -9,9 +9,9 @@
 
 namespace {
 
-// Long enough for the host list to say the same, short enough for one that stays after all.
+// Long enough for the host list to show that the server is leaving, short enough for a server that stays after all.
 constexpr std::chrono::seconds leavingPause{10};
-// Nobody who is refused here hears of a new level, so an old one must not hold for long.
+// A router that refuses requests by the level of an agent sends it nothing, and so gets no new level from it: a level must expire soon.
 constexpr std::chrono::milliseconds levelLifetime{250};
 
 } // namespace
@@ -21,34 +21,34 @@
 {
 }
 
-void ServerLoads::noteReport(BackendServerId id, const LoadReport &report, Core::TimePoint now)
+void ServerLoads::updateReport(BackendServerId id, const LoadReport &report, Core::TimePoint now)
 {
     Load &load = m_loads[id];
     load.report = report;
-    load.noted = now;
-    load.deadline = now + m_hintLifetime;
+    load.reportedAt = now;
+    load.validUntil = now + m_hintLifetime;
     load.pausedUntil = report.isLeaving ? now + leavingPause : load.pausedUntil;
 }
 
-void ServerLoads::noteSent(BackendServerId id, microseconds work)
+void ServerLoads::recordSent(BackendServerId id, microseconds work)
 {
-    m_loads[id].unanswered += work;
+    m_loads[id].unansweredWork += work;
 }
 
-void ServerLoads::noteAnswered(BackendServerId id, microseconds work)
+void ServerLoads::recordAnswered(BackendServerId id, microseconds work)
 {
     const auto found = m_loads.find(id);
     if (found != m_loads.end()) {
-        found->second.unanswered = std::max(microseconds(0), found->second.unanswered - work);
+        found->second.unansweredWork = std::max(microseconds(0), found->second.unansweredWork - work);
     }
 }
 
-void ServerLoads::pause(BackendServerId id, Core::TimePoint deadline)
+void ServerLoads::pause(BackendServerId id, Core::TimePoint until)
 {
-    m_loads[id].pausedUntil = deadline;
+    m_loads[id].pausedUntil = until;
 }
 
-void ServerLoads::restart(BackendServerId id, std::uint64_t incarnation)
+void ServerLoads::markRestarted(BackendServerId id, std::uint64_t incarnation)
 {
     Load load;
     load.report.incarnation = incarnation;
@@ -66,28 +66,29 @@
     return found == m_loads.end() ? nullptr : &found->second;
 }
 
-// A queue drains while nothing is heard of it, so an old hint fades by itself; past its deadline only the own work is counted.
-microseconds ServerLoads::wait(BackendServerId id, Core::TimePoint now) const
+// The queue drains while no report arrives, so the reported work is reduced by the age of the report. Once the report has expired, only
+// this router's own work counts.
+microseconds ServerLoads::expectedWait(BackendServerId id, Core::TimePoint now) const
 {
     const Load *load = find(id);
     if (load == nullptr) {
         return microseconds(0);
     }
-    const microseconds left = load->report.queuedWork - duration_cast<microseconds>(now - load->noted);
-    const microseconds hinted = now < load->deadline ? std::max(microseconds(0), left) : microseconds(0);
-    return hinted + load->unanswered;
+    const microseconds remaining = load->report.queuedWork - duration_cast<microseconds>(now - load->reportedAt);
+    const microseconds reported = now < load->validUntil ? std::max(microseconds(0), remaining) : microseconds(0);
+    return reported + load->unansweredWork;
 }
 
-microseconds ServerLoads::unanswered(BackendServerId id) const
+microseconds ServerLoads::unansweredWork(BackendServerId id) const
 {
     const Load *load = find(id);
-    return load == nullptr ? microseconds(0) : load->unanswered;
+    return load == nullptr ? microseconds(0) : load->unansweredWork;
 }
 
-microseconds ServerLoads::prefillPerPiece(BackendServerId id, microseconds otherwise) const
+microseconds ServerLoads::prefillPerPiece(BackendServerId id, microseconds defaultCost) const
 {
     const Load *load = find(id);
-    return load == nullptr || load->report.prefillPerPiece == microseconds(0) ? otherwise : load->report.prefillPerPiece;
+    return load == nullptr || load->report.prefillPerPiece == microseconds(0) ? defaultCost : load->report.prefillPerPiece;
 }
 
 bool ServerLoads::isPaused(BackendServerId id, Core::TimePoint now) const
@@ -99,10 +100,10 @@
 std::uint32_t ServerLoads::overloadLevel(BackendServerId id, Core::TimePoint now) const
 {
     const Load *load = find(id);
-    return load == nullptr || now >= load->noted + levelLifetime ? 0 : load->report.overloadLevel;
+    return load == nullptr || now >= load->reportedAt + levelLifetime ? 0 : load->report.overloadLevel;
 }
 
-std::uint64_t ServerLoads::epoch(BackendServerId id) const
+std::uint64_t ServerLoads::incarnation(BackendServerId id) const
 {
     const Load *load = find(id);
     return load == nullptr ? 0 : load->report.incarnation;
--- a/src/libs/router/requesttask.cpp
+++ b/src/libs/router/requesttask.cpp
@@ -133,7 +133,7 @@
     m_plan.query.excluded.insert(m_plan.query.excluded.end(), down.begin(), down.end());
     const Decisions::RouteDecision decision = m_context.chooser.choose(m_plan.query, now);
     if (decision.candidates.empty()) {
-        perform(m_tracker.noteNoCandidate());
+        perform(m_tracker.handleNoCandidate());
         return std::nullopt;
     }
     // What the caller has begun to read is not given up for this.
@@ -144,7 +144,7 @@
         }
     }
     m_context.metrics.count("requests_shed_total");
-    perform(m_tracker.noteOverload());
+    perform(m_tracker.handleOverload());
     return std::nullopt;
 }
 
@@ -167,11 +167,11 @@
         failToSend();
         return;
     }
-    m_tracker.noteSent(m_tracker.attempt(), m_server);
+    m_tracker.markSent(m_tracker.attempt(), m_server);
     m_takenFrames = 0;
     m_work = m_context.chooser.expectedPrefill(m_server, m_plan.query, now);
     m_isWorkCounted = true;
-    m_context.chooser.noteDispatched(m_server, m_plan.query, m_work, now);
+    m_context.chooser.recordDispatch(m_server, m_plan.query, m_work, now);
     m_context.metrics.count("attempts_total");
 }
 
@@ -179,7 +179,7 @@
 {
     m_isWaitingForLink = false;
     m_connectTimer.stop();
-    perform(m_tracker.noteNotSent(m_tracker.attempt(), m_server));
+    perform(m_tracker.handleNotSent(m_tracker.attempt(), m_server));
 }
 
 void RequestTask::cancel(const Decisions::CancelAttempt &action)
@@ -200,10 +200,10 @@
     if (admitted.attempt() != m_tracker.attempt() || m_isOver) {
         return;
     }
-    m_tracker.noteAdmitted(admitted.attempt());
+    m_tracker.markAdmitted(admitted.attempt());
     if (m_isWorkCounted) {
         m_isWorkCounted = false;
-        m_context.chooser.noteReply(m_server, m_plan.query, admitted.warm_pieces(), m_work, m_context.loop.now());
+        m_context.chooser.recordReply(m_server, m_plan.query, admitted.warm_pieces(), m_work, m_context.loop.now());
     }
 }
 
@@ -214,16 +214,16 @@
     }
     if (m_isWorkCounted) {
         m_isWorkCounted = false;
-        m_context.chooser.noteRefusal(m_server, m_plan.query, routeRefusalOf(refused), m_work, m_context.loop.now());
+        m_context.chooser.recordRefusal(m_server, m_plan.query, routeRefusalOf(refused), m_work, m_context.loop.now());
     }
     m_context.metrics.count("attempts_refused_total");
-    perform(m_tracker.noteRefused(refused.attempt(), attemptRefusalOf(refused.reason()), std::chrono::microseconds(refused.retry_after_us())));
+    perform(m_tracker.handleRefusal(refused.attempt(), attemptRefusalOf(refused.reason()), std::chrono::microseconds(refused.retry_after_us())));
 }
 
 void RequestTask::receiveFrame(const verbena::wire::Frame &frame)
 {
     if (!m_isOver) {
-        perform(m_tracker.noteFrame(frame.attempt(), frame.sequence(), frame.text(), frame.tokens()));
+        perform(m_tracker.handleFrame(frame.attempt(), frame.sequence(), frame.text(), frame.tokens()));
     }
 }
 
@@ -234,7 +234,7 @@
     ++m_takenFrames;
     if (isAnswerTooLarge()) {
         const Decisions::RunState run = m_tracker.runState();
-        perform(m_tracker.noteCallerGone());
+        perform(m_tracker.handleCallerGone());
         m_writer->fail(tooLargeFailure(run));
         end();
         return;
@@ -276,7 +276,7 @@
     }
     m_ended = ended;
     const bool isCompletion = m_plan.policy.isResumable;
-    perform(m_tracker.noteEnded(ended.attempt(), ended.sequence(), attemptEndOf(ended, isCompletion)));
+    perform(m_tracker.handleEnd(ended.attempt(), ended.sequence(), attemptEndOf(ended, isCompletion)));
 }
 
 void RequestTask::finish(const Decisions::FinishRequest &action)
@@ -320,7 +320,7 @@
 {
     if (m_hasServer && m_server == server && !m_isOver) {
         settleWork(false);
-        perform(m_tracker.noteAgentLost(m_tracker.attempt()));
+        perform(m_tracker.handleAgentLost(m_tracker.attempt()));
     }
 }
 
@@ -334,7 +334,7 @@
 void RequestTask::onDeadline()
 {
     if (!m_isOver) {
-        perform(m_tracker.noteDeadline());
+        perform(m_tracker.handleDeadline());
     }
 }
 
@@ -342,7 +342,7 @@
 {
     if (!m_isOver) {
         m_context.metrics.count("callers_gone_total");
-        perform(m_tracker.noteCallerGone());
+        perform(m_tracker.handleCallerGone());
         end();
     }
 }
@@ -350,7 +350,7 @@
 void RequestTask::settleWork(bool isAnswered)
 {
     if (m_isWorkCounted && !isAnswered) {
-        m_context.chooser.noteNoAnswer(m_server, m_work);
+        m_context.chooser.recordNoAnswer(m_server, m_work);
     }
     m_isWorkCounted = false;
 }
--- a/src/libs/router/routertask.cpp
+++ b/src/libs/router/routertask.cpp
@@ -247,10 +247,10 @@
 void RouterTask::noteHint(Decisions::BackendServerId id, const verbena::wire::LoadHint &hint)
 {
     const Core::TimePoint now = m_loop.now();
-    m_chooser.noteLoad(id, loadReportOf(hint), now);
+    m_chooser.updateLoad(id, loadReportOf(hint), now);
     m_overload.note(id, hint.overload_level(), now);
     if (hint.heat_width() > 0) {
-        m_chooser.noteHeat(Decisions::PrefixKey(hint.heat_key()), hint.heat_width(), now + heatLifetime);
+        m_chooser.setHomeCount(Decisions::PrefixKey(hint.heat_key()), hint.heat_width(), now + heatLifetime);
     }
 }
 
--- a/tests/auto/router/tst_attempttracker.cpp
+++ b/tests/auto/router/tst_attempttracker.cpp
@@ -30,11 +30,11 @@
     return text;
 }
 
-/// An attempt as its agent sees it.
-struct AgentSide
+/// An attempt from the view of its agent.
+struct AgentAttempt
 {
     std::uint32_t resumeTokens = 0;
-    std::uint64_t sent = 0; ///< Frames sent so far.
+    std::uint64_t sent = 0; ///< Number of frames sent so far.
     bool isReceived = false;
     bool isRefused = false;
     bool hasRun = false;
@@ -55,73 +55,73 @@
     LoseEngine,
     LoseAgent,
     Deadline,
-    LeaveAsCaller,
+    DisconnectCaller,
 };
 
-/// Plays agents, network and caller for one tracker, and holds what the caller saw.
-class World
+/// Simulates agents, network and caller for one tracker, and records what the caller received.
+class TrackerSimulation
 {
 public:
-    explicit World(bool isIdempotent)
+    explicit TrackerSimulation(bool isIdempotent)
         : m_isIdempotent(isIdempotent)
         , m_budget(0.1, 100, 100)
         , m_tracker(policy(isIdempotent), m_budget)
     {
-        take(m_tracker.start());
+        apply(m_tracker.start());
     }
 
-    // Steps of an attempt go to any attempt so far, so that late messages of older ones come in between.
-    void play(Step step, std::uint32_t choice)
+    // Steps of an attempt apply to any attempt so far, so that late messages of earlier attempts arrive in between.
+    void runStep(Step step, std::uint32_t choice)
     {
         const std::uint32_t current = m_tracker.attempt();
         const std::uint32_t attempt = 1 + choice % current;
-        AgentSide &agent = m_agents[attempt];
+        AgentAttempt &agent = m_agents[attempt];
         switch (step) {
         case Step::Send:
             if (m_tracker.state() == AttemptState::NotSent) {
-                m_tracker.noteSent(m_tracker.attempt(), BackendServerId{m_tracker.attempt()});
+                m_tracker.markSent(m_tracker.attempt(), BackendServerId{m_tracker.attempt()});
                 m_agents[m_tracker.attempt()].isReceived = true;
             }
             break;
         case Step::CannotSend:
-            take(m_tracker.noteNotSent(m_tracker.attempt(), BackendServerId{m_tracker.attempt()}));
+            apply(m_tracker.handleNotSent(m_tracker.attempt(), BackendServerId{m_tracker.attempt()}));
             break;
         case Step::NoCandidate:
-            take(m_tracker.noteNoCandidate());
+            apply(m_tracker.handleNoCandidate());
             break;
         case Step::LoseAgent:
-            takeFrom(attempt, current, m_tracker.noteAgentLost(attempt));
+            applyFrom(attempt, current, m_tracker.handleAgentLost(attempt));
             break;
         case Step::Deadline:
-            take(m_tracker.noteDeadline());
+            apply(m_tracker.handleDeadline());
             break;
-        case Step::LeaveAsCaller:
-            take(m_tracker.noteCallerGone());
-            m_hasLeft = true;
+        case Step::DisconnectCaller:
+            apply(m_tracker.handleCallerGone());
+            m_hasCallerLeft = true;
             break;
         default:
             if (agent.isReceived && !agent.isOver) {
-                playAgent(step, attempt, agent);
+                runAgentStep(step, attempt, agent);
             }
         }
     }
 
     void check() const
     {
-        RC_ASSERT(wholeText().starts_with(m_seen));
-        RC_ASSERT(m_finishes + m_failures <= 1);
-        RC_ASSERT(m_finishes == 0 || m_seen == wholeText());
-        const bool isAnswered = m_finishes + m_failures == 1;
-        RC_ASSERT((m_tracker.state() == AttemptState::Ended) == (isAnswered || m_hasLeft));
-        std::size_t maybeRun = 0;
+        RC_ASSERT(wholeText().starts_with(m_deliveredText));
+        RC_ASSERT(m_finishCount + m_failureCount <= 1);
+        RC_ASSERT(m_finishCount == 0 || m_deliveredText == wholeText());
+        const bool isAnswered = m_finishCount + m_failureCount == 1;
+        RC_ASSERT((m_tracker.state() == AttemptState::Ended) == (isAnswered || m_hasCallerLeft));
+        std::size_t possiblyRun = 0;
         std::size_t run = 0;
         for (const auto &[attempt, agent] : m_agents) {
-            maybeRun += agent.isReceived && !agent.isRefused ? 1 : 0;
+            possiblyRun += agent.isReceived && !agent.isRefused ? 1 : 0;
             run += agent.hasRun ? 1 : 0;
         }
-        RC_ASSERT(m_isIdempotent || maybeRun <= 1);
-        RC_ASSERT(m_failedRun != RunState::NotRun || maybeRun == 0);
-        RC_ASSERT(m_failedRun != RunState::Run || run > 0);
+        RC_ASSERT(m_isIdempotent || possiblyRun <= 1);
+        RC_ASSERT(m_failedRunState != RunState::NotRun || possiblyRun == 0);
+        RC_ASSERT(m_failedRunState != RunState::Run || run > 0);
     }
 
 private:
@@ -133,66 +133,66 @@
         return policy;
     }
 
-    void playAgent(Step step, std::uint32_t attempt, AgentSide &agent)
+    void runAgentStep(Step step, std::uint32_t attempt, AgentAttempt &agent)
     {
         const std::uint32_t left = answerTokens - agent.resumeTokens;
         const std::uint32_t current = m_tracker.attempt();
         if (step == Step::Admit) {
-            m_tracker.noteAdmitted(attempt);
+            m_tracker.markAdmitted(attempt);
         } else if (step == Step::Refuse && !agent.hasRun) {
             agent.isRefused = true;
             agent.isOver = true;
-            takeFrom(attempt, current, m_tracker.noteRefused(attempt, AttemptRefusal::QueueFull, 5ms));
+            applyFrom(attempt, current, m_tracker.handleRefusal(attempt, AttemptRefusal::QueueFull, 5ms));
         } else if (step == Step::RefuseAsDuplicate) {
-            takeFrom(attempt, current, m_tracker.noteRefused(attempt, AttemptRefusal::Duplicate, 0ms));
+            applyFrom(attempt, current, m_tracker.handleRefusal(attempt, AttemptRefusal::Duplicate, 0ms));
         } else if (step == Step::NextFrame && agent.sent < left) {
             agent.hasRun = true;
             ++agent.sent;
-            frame(attempt, agent, agent.sent);
+            sendFrame(attempt, agent, agent.sent);
         } else if (step == Step::RepeatFrame && agent.sent > 0) {
-            frame(attempt, agent, agent.sent);
+            sendFrame(attempt, agent, agent.sent);
         } else if (step == Step::SkipFrame && agent.sent < left) {
             agent.hasRun = true;
             ++agent.sent;
         } else if (step == Step::Complete && agent.sent == left) {
             agent.hasRun = true;
             agent.isOver = true;
-            takeFrom(attempt, current, m_tracker.noteEnded(attempt, agent.sent + 1, AttemptEnd::Complete));
+            applyFrom(attempt, current, m_tracker.handleEnd(attempt, agent.sent + 1, AttemptEnd::Complete));
         } else if (step == Step::LoseEngine) {
             agent.isOver = true;
-            takeFrom(attempt, current, m_tracker.noteEnded(attempt, agent.sent + 1, AttemptEnd::EngineLost));
+            applyFrom(attempt, current, m_tracker.handleEnd(attempt, agent.sent + 1, AttemptEnd::EngineLost));
         }
     }
 
-    void frame(std::uint32_t attempt, const AgentSide &agent, std::uint64_t sequence)
+    void sendFrame(std::uint32_t attempt, const AgentAttempt &agent, std::uint64_t sequence)
     {
         const std::string text = tokenText(agent.resumeTokens + static_cast<std::uint32_t>(sequence) - 1);
         const std::uint32_t current = m_tracker.attempt();
-        takeFrom(attempt, current, m_tracker.noteFrame(attempt, sequence, text, 1));
+        applyFrom(attempt, current, m_tracker.handleFrame(attempt, sequence, text, 1));
     }
 
-    // What an older attempt says late must not matter.
-    void takeFrom(std::uint32_t attempt, std::uint32_t current, const AttemptActions &actions)
+    // Late messages of earlier attempts must have no effect.
+    void applyFrom(std::uint32_t attempt, std::uint32_t current, const AttemptActions &actions)
     {
         RC_ASSERT(attempt == current || actions.empty());
-        take(actions);
+        apply(actions);
     }
 
-    void take(const AttemptActions &actions)
+    void apply(const AttemptActions &actions)
     {
         for (const AttemptAction &action : actions) {
-            RC_ASSERT(m_finishes + m_failures == 0U);
+            RC_ASSERT(m_finishCount + m_failureCount == 0U);
             if (const auto *deliver = std::get_if<DeliverText>(&action)) {
-                m_seen += deliver->text;
+                m_deliveredText += deliver->text;
             } else if (const auto *dispatch = std::get_if<DispatchAttempt>(&action)) {
                 RC_ASSERT(dispatch->attempt == m_tracker.attempt());
-                RC_ASSERT(dispatch->resumeTokens == m_seen.size());
+                RC_ASSERT(dispatch->resumeTokens == m_deliveredText.size());
                 m_agents[dispatch->attempt].resumeTokens = dispatch->resumeTokens;
             } else if (std::holds_alternative<FinishRequest>(action)) {
-                ++m_finishes;
+                ++m_finishCount;
             } else if (const auto *fail = std::get_if<FailRequest>(&action)) {
-                ++m_failures;
-                m_failedRun = fail->run;
+                ++m_failureCount;
+                m_failedRunState = fail->run;
             }
         }
     }
@@ -200,31 +200,31 @@
     bool m_isIdempotent;
     RetryBudget m_budget;
     AttemptTracker m_tracker;
-    std::map<std::uint32_t, AgentSide> m_agents;
-    std::string m_seen;
-    unsigned m_finishes = 0;
-    unsigned m_failures = 0;
-    bool m_hasLeft = false;
-    std::optional<RunState> m_failedRun;
+    std::map<std::uint32_t, AgentAttempt> m_agents;
+    std::string m_deliveredText;
+    unsigned m_finishCount = 0;
+    unsigned m_failureCount = 0;
+    bool m_hasCallerLeft = false;
+    std::optional<RunState> m_failedRunState;
 };
 
-// Frames come more often than the rest, as in life; else few orders would get far.
+// Frames are more frequent than other steps, as in real traffic; otherwise few sequences would deliver many frames.
 Step stepOf(std::uint32_t number)
 {
     constexpr std::uint32_t frameWeight = 8;
-    constexpr auto stepCount = static_cast<std::uint32_t>(Step::LeaveAsCaller) + 1;
-    const std::uint32_t drawn = number % (stepCount + frameWeight);
-    return drawn < stepCount ? static_cast<Step>(drawn) : drawn % 2 == 0 ? Step::NextFrame : Step::Send;
+    constexpr auto stepCount = static_cast<std::uint32_t>(Step::DisconnectCaller) + 1;
+    const std::uint32_t choice = number % (stepCount + frameWeight);
+    return choice < stepCount ? static_cast<Step>(choice) : choice % 2 == 0 ? Step::NextFrame : Step::Send;
 }
 
-class TrackerTest : public testing::Test
+class AttemptTrackerTest : public testing::Test
 {
 protected:
-    AttemptTracker sent(const AttemptPolicy &policy)
+    AttemptTracker sentTracker(const AttemptPolicy &policy)
     {
         AttemptTracker tracker(policy, m_budget);
         tracker.start();
-        tracker.noteSent(1, firstServer);
+        tracker.markSent(1, firstServer);
         return tracker;
     }
 
@@ -244,104 +244,104 @@
 
 } // namespace
 
-TEST(AttemptTrackerProperty, theCallerSeesOneWholeStreamOrOneErrorAndNothingRunsTwiceThatMayNot)
+TEST(AttemptTrackerProperty, callerGetsOneWholeAnswerOrOneErrorAndNonIdempotentRequestsRunAtMostOnce)
 {
     EXPECT_TRUE(rc::check("random event orders", [](bool isIdempotent, const std::vector<std::uint32_t> &numbers) {
-        World world(isIdempotent);
+        TrackerSimulation simulation(isIdempotent);
         for (const std::uint32_t number : numbers) {
-            world.play(stepOf(number), number / 64);
-            world.check();
+            simulation.runStep(stepOf(number), number / 64);
+            simulation.check();
         }
     }));
 }
 
-TEST_F(TrackerTest, resumesAnIdempotentRequestElsewhereAfterTheTokensDelivered)
+TEST_F(AttemptTrackerTest, resumesAnIdempotentRequestAfterTheDeliveredTokens)
 {
-    AttemptTracker tracker = sent({});
-    tracker.noteFrame(1, 1, "ab", 2);
-    const AttemptActions actions = tracker.noteEnded(1, 2, AttemptEnd::EngineLost);
+    AttemptTracker tracker = sentTracker({});
+    tracker.handleFrame(1, 1, "ab", 2);
+    const AttemptActions actions = tracker.handleEnd(1, 2, AttemptEnd::EngineLost);
     ASSERT_NE(find<DispatchAttempt>(actions), nullptr);
     EXPECT_EQ(find<DispatchAttempt>(actions)->resumeTokens, 2U);
     EXPECT_EQ(tracker.excluded(), std::vector<BackendServerId>{firstServer});
 }
 
-TEST_F(TrackerTest, startsOverWhatCannotBeResumed)
+TEST_F(AttemptTrackerTest, startsOverIfTheRequestIsNotResumable)
 {
     AttemptPolicy policy;
     policy.isResumable = false;
-    AttemptTracker tracker = sent(policy);
-    tracker.noteFrame(1, 1, "ab", 2);
-    EXPECT_EQ(find<DispatchAttempt>(tracker.noteAgentLost(1))->resumeTokens, 0U);
+    AttemptTracker tracker = sentTracker(policy);
+    tracker.handleFrame(1, 1, "ab", 2);
+    EXPECT_EQ(find<DispatchAttempt>(tracker.handleAgentLost(1))->resumeTokens, 0U);
 }
 
-TEST_F(TrackerTest, dispatchesANonIdempotentRequestAgainOnlyAfterATruthfulRefusal)
+TEST_F(AttemptTrackerTest, retriesANonIdempotentRequestOnlyAfterADefiniteRefusal)
 {
     AttemptPolicy policy;
     policy.isIdempotent = false;
-    AttemptTracker refused = sent(policy);
-    EXPECT_NE(find<DispatchAttempt>(refused.noteRefused(1, AttemptRefusal::QueueFull, 0ms)), nullptr);
-    AttemptTracker duplicate = sent(policy);
-    const AttemptActions actions = duplicate.noteRefused(1, AttemptRefusal::Duplicate, 0ms);
+    AttemptTracker refused = sentTracker(policy);
+    EXPECT_NE(find<DispatchAttempt>(refused.handleRefusal(1, AttemptRefusal::QueueFull, 0ms)), nullptr);
+    AttemptTracker duplicate = sentTracker(policy);
+    const AttemptActions actions = duplicate.handleRefusal(1, AttemptRefusal::Duplicate, 0ms);
     ASSERT_NE(find<FailRequest>(actions), nullptr);
     EXPECT_EQ(find<FailRequest>(actions)->run, RunState::Unknown);
     EXPECT_EQ(find<FailRequest>(actions)->retryAfter, std::nullopt);
 }
 
-TEST_F(TrackerTest, losesTheAttemptAtAGapInItsFrames)
+TEST_F(AttemptTrackerTest, abandonsTheAttemptAtAGapInItsFrames)
 {
-    AttemptTracker tracker = sent({});
-    tracker.noteFrame(1, 1, "a", 1);
-    const AttemptActions actions = tracker.noteFrame(1, 3, "c", 1);
+    AttemptTracker tracker = sentTracker({});
+    tracker.handleFrame(1, 1, "a", 1);
+    const AttemptActions actions = tracker.handleFrame(1, 3, "c", 1);
     EXPECT_NE(find<CancelAttempt>(actions), nullptr);
     EXPECT_EQ(find<DispatchAttempt>(actions)->resumeTokens, 1U);
-    EXPECT_TRUE(tracker.noteFrame(1, 2, "b", 1).empty());
+    EXPECT_TRUE(tracker.handleFrame(1, 2, "b", 1).empty());
 }
 
-TEST_F(TrackerTest, finishesWhereOnlyTheEndWasLostAfterTheLastToken)
+TEST_F(AttemptTrackerTest, finishesIfOnlyTheEndAfterTheLastTokenWasLost)
 {
     AttemptPolicy policy;
     policy.maximumTokens = 1;
-    AttemptTracker tracker = sent(policy);
-    tracker.noteFrame(1, 1, "a", 1);
-    EXPECT_NE(find<FinishRequest>(tracker.noteAgentLost(1)), nullptr);
+    AttemptTracker tracker = sentTracker(policy);
+    tracker.handleFrame(1, 1, "a", 1);
+    EXPECT_NE(find<FinishRequest>(tracker.handleAgentLost(1)), nullptr);
 }
 
-TEST_F(TrackerTest, givesUpAtOnceWithAnAdviceWhenTheRetryBudgetIsEmpty)
+TEST_F(AttemptTrackerTest, failsWithRetryAdviceIfTheRetryBudgetIsEmpty)
 {
-    while (m_budget.tryTake()) {
+    while (m_budget.tryConsume()) {
     }
-    AttemptTracker tracker = sent({});
-    const AttemptActions actions = tracker.noteRefused(1, AttemptRefusal::Overload, 7ms);
+    AttemptTracker tracker = sentTracker({});
+    const AttemptActions actions = tracker.handleRefusal(1, AttemptRefusal::Overload, 7ms);
     ASSERT_NE(find<FailRequest>(actions), nullptr);
     EXPECT_EQ(find<FailRequest>(actions)->run, RunState::NotRun);
     EXPECT_EQ(find<FailRequest>(actions)->retryAfter, 7ms);
 }
 
-// A router that is killed again and again while backend servers fail would get all that can be saved up with each start.
-TEST(RetryBudgetTest, givesLittleAnewWithEachStart)
+// A router that is killed repeatedly while backend servers fail would otherwise get its full retry capacity with each start.
+TEST(RetryBudgetTest, grantsFewRetriesAtEachStart)
 {
-    int taken = 0;
+    int consumed = 0;
     for (int start = 0; start < 5; ++start) {
         RetryBudget budget(0.1, 200, 10);
-        while (budget.tryTake()) {
-            ++taken;
+        while (budget.tryConsume()) {
+            ++consumed;
         }
     }
-    EXPECT_EQ(taken, 50);
+    EXPECT_EQ(consumed, 50);
 }
 
 TEST(RetryBudgetTest, isAFractionOfSuccessesAndBounded)
 {
     RetryBudget budget(0.5, 2, 2);
-    EXPECT_TRUE(budget.tryTake());
-    EXPECT_TRUE(budget.tryTake());
-    EXPECT_FALSE(budget.tryTake());
-    budget.noteSuccess();
-    EXPECT_FALSE(budget.tryTake());
-    budget.noteSuccess();
-    EXPECT_TRUE(budget.tryTake());
+    EXPECT_TRUE(budget.tryConsume());
+    EXPECT_TRUE(budget.tryConsume());
+    EXPECT_FALSE(budget.tryConsume());
+    budget.recordSuccess();
+    EXPECT_FALSE(budget.tryConsume());
+    budget.recordSuccess();
+    EXPECT_TRUE(budget.tryConsume());
     for (int i = 0; i < 100; ++i) {
-        budget.noteSuccess();
+        budget.recordSuccess();
     }
     EXPECT_EQ(budget.available(), 2);
 }
--- a/tests/auto/routing/tst_placement.cpp
+++ b/tests/auto/routing/tst_placement.cpp
@@ -20,8 +20,8 @@
     return pool;
 }
 
-// The textbook way: the distance to every member, sorted.
-std::vector<BackendServerId> ranksByDistance(PrefixKey key, std::vector<BackendServerId> pool)
+// Reference implementation: sorts all members by their distance.
+std::vector<BackendServerId> sortedByDistance(PrefixKey key, std::vector<BackendServerId> pool)
 {
     std::sort(pool.begin(), pool.end(), [key](BackendServerId left, BackendServerId right) {
         return std::pair(Placement::distance(key, left), left) < std::pair(Placement::distance(key, right), right);
@@ -31,23 +31,23 @@
 
 } // namespace
 
-TEST(Placement, RanksAsThePlainOrderByDistance)
+TEST(Placement, OrdersByDistance)
 {
-    EXPECT_TRUE(rc::check("ranks are those of the full order", [](const std::set<std::uint64_t> &ids, std::uint64_t key) {
+    EXPECT_TRUE(rc::check("the order is that of a full sort", [](const std::set<std::uint64_t> &ids, std::uint64_t key) {
         const std::vector<BackendServerId> pool = poolOf(ids);
-        RC_ASSERT(Placement(pool).ranks(PrefixKey(key), pool.size()) == ranksByDistance(PrefixKey(key), pool));
+        RC_ASSERT(Placement(pool).nearest(PrefixKey(key), pool.size()) == sortedByDistance(PrefixKey(key), pool));
     }));
 }
 
-TEST(Placement, LosingOneMovesOnlyItsKeys)
+TEST(Placement, LossOfAServerMovesOnlyItsKeys)
 {
-    EXPECT_TRUE(rc::check("the other ranks keep their order", [](std::set<std::uint64_t> ids, std::uint64_t key) {
+    EXPECT_TRUE(rc::check("the other backend servers keep their order", [](std::set<std::uint64_t> ids, std::uint64_t key) {
         RC_PRE(!ids.empty());
-        std::vector<BackendServerId> ranks = Placement(poolOf(ids)).ranks(PrefixKey(key), ids.size());
+        std::vector<BackendServerId> expected = Placement(poolOf(ids)).nearest(PrefixKey(key), ids.size());
         const std::uint64_t lost = *std::next(ids.begin(), static_cast<std::ptrdiff_t>(*rc::gen::inRange<std::size_t>(0, ids.size())));
         ids.erase(lost);
-        std::erase(ranks, BackendServerId(lost));
-        RC_ASSERT(Placement(poolOf(ids)).ranks(PrefixKey(key), ids.size()) == ranks);
+        std::erase(expected, BackendServerId(lost));
+        RC_ASSERT(Placement(poolOf(ids)).nearest(PrefixKey(key), ids.size()) == expected);
     }));
 }
 
@@ -62,7 +62,7 @@
     std::map<BackendServerId, int> counts;
     constexpr int keys = 20000;
     for (std::uint64_t key = 0; key < keys; ++key) {
-        ++counts[placement.ranks(PrefixKey(key), 1).front()];
+        ++counts[placement.nearest(PrefixKey(key), 1).front()];
     }
     for (const BackendServerId id : pool) {
         EXPECT_LT(counts[id], 1.3 * keys / 20);
--- a/tests/auto/routing/tst_routechooser.cpp
+++ b/tests/auto/routing/tst_routechooser.cpp
@@ -55,7 +55,7 @@
 
 } // namespace
 
-TEST(RouteChooser, RoutersThatKnowNothingAgreeOnTheHome)
+TEST(RouteChooser, RoutersWithoutDataAgreeOnTheHome)
 {
     const RouteChooser first = chooserFor(fleetOf(20), 1);
     const RouteChooser second = chooserFor(fleetOf(20), 2);
@@ -67,7 +67,7 @@
         }
         return ids;
     }());
-    const BackendServerId home = placement.ranks(PrefixKey(1), 1).front();
+    const BackendServerId home = placement.nearest(PrefixKey(1), 1).front();
     for (const RouteChooser *chooser : {&first, &second}) {
         const RouteDecision decision = chooser->choose(queryFor({1, 2, 3}), start);
         EXPECT_TRUE(std::any_of(decision.candidates.begin(), decision.candidates.end(), [home](const RouteCandidate &candidate) {
@@ -76,9 +76,9 @@
     }
 }
 
-// One router of many before a large fleet: it sends each backend server less than a request in the time that is counted, so that a prompt which it sees
-// for the second time seems hot. Spread over many homes it would be cold at each.
-TEST(RouteChooser, KeepsAPromptAtOneHomeUntilItIsAskedForOften)
+// One of many routers in front of a large fleet sends each backend server less than one request within the time constant of the demand.
+// Without a minimum demand for hot prefixes, a prompt that it sees twice would be spread over many homes and be cold at each.
+TEST(RouteChooser, KeepsAPromptAtOneHomeUntilItsDemandIsHigh)
 {
     RouteChooser chooser = chooserFor(fleetOf(180));
     const auto homes = [&chooser](const RouteQuery &query) {
@@ -88,10 +88,10 @@
     const RouteQuery rare = queryFor({1, 2, 3});
     const RouteQuery hot = queryFor({4, 5, 6});
     for (int request = 0; request < 20; ++request) {
-        chooser.noteDispatched(backendServerId("e0"), hot, 1ms, start);
+        chooser.recordDispatch(backendServerId("e0"), hot, 1ms, start);
     }
     for (int request = 0; request < 2; ++request) {
-        chooser.noteDispatched(backendServerId("e1"), rare, 1ms, start);
+        chooser.recordDispatch(backendServerId("e1"), rare, 1ms, start);
     }
     EXPECT_EQ(homes(rare), 1);
     EXPECT_GT(homes(hot), 4);
@@ -127,11 +127,11 @@
         }
         RouteChooser chooser = chooserFor(servers);
         for (const BackendServer &server : servers) {
-            chooser.noteDispatched(server.id, query, 1ms, start);
-            chooser.noteReply(server.id, query, 3, 1ms, start);
+            chooser.recordDispatch(server.id, query, 1ms, start);
+            chooser.recordReply(server.id, query, 3, 1ms, start);
         }
         for (const BackendServerId id : refusing) {
-            chooser.noteRefusal(id, query, {0us, {}, true}, 1ms, start);
+            chooser.recordRefusal(id, query, {0us, {}, true}, 1ms, start);
         }
         const RouteDecision decision = chooser.choose(query, start);
         RC_ASSERT(decision.candidates.empty() == usable.empty());
@@ -146,48 +146,48 @@
     RouteChooser chooser = chooserFor(fleetOf(20));
     const RouteQuery query = queryFor({1, 2, 3, 4});
     const BackendServerId holder = backendServerId("e5");
-    chooser.noteDispatched(holder, query, 1ms, start);
-    chooser.noteReply(holder, query, 0, 1ms, start);
+    chooser.recordDispatch(holder, query, 1ms, start);
+    chooser.recordReply(holder, query, 0, 1ms, start);
     LoadReport report;
     report.prefillPerPiece = 100ms;
     report.queuedWork = 300ms;
-    chooser.noteLoad(holder, report, start);
+    chooser.updateLoad(holder, report, start);
     EXPECT_EQ(chooser.choose(query, start).best(), holder);
     report.queuedWork = 3s;
-    chooser.noteLoad(holder, report, start);
+    chooser.updateLoad(holder, report, start);
     EXPECT_NE(chooser.choose(query, start).best(), holder);
 }
 
-TEST(RouteChooser, ForgetsWhatADeadIncarnationKept)
+TEST(RouteChooser, ForgetsTheCacheOfAnEarlierIncarnation)
 {
     RouteChooser chooser = chooserFor(fleetOf(20));
     const RouteQuery query = queryFor({1, 2, 3, 4});
     const BackendServerId holder = backendServerId("e5");
     LoadReport report;
     report.incarnation = 1;
-    chooser.noteLoad(holder, report, start);
-    chooser.noteDispatched(holder, query, 1ms, start);
-    chooser.noteReply(holder, query, 0, 1ms, start);
+    chooser.updateLoad(holder, report, start);
+    chooser.recordDispatch(holder, query, 1ms, start);
+    chooser.recordReply(holder, query, 0, 1ms, start);
     EXPECT_EQ(chooser.choose(query, start).candidates.front().warmPieces, 4U);
     report.incarnation = 2;
-    chooser.noteLoad(holder, report, start);
+    chooser.updateLoad(holder, report, start);
     for (const RouteCandidate &candidate : chooser.choose(query, start).candidates) {
         EXPECT_LT(candidate.warmPieces, 4U);
     }
 }
 
-TEST(RouteChooser, StopsSendingToOneThatSaysItIsLeaving)
+TEST(RouteChooser, StopsSendingToAServerThatIsLeaving)
 {
     RouteChooser chooser = chooserFor(fleetOf(2));
     LoadReport report;
     report.isLeaving = true;
-    chooser.noteLoad(backendServerId("e0"), report, start);
+    chooser.updateLoad(backendServerId("e0"), report, start);
     for (std::uint64_t key = 0; key < 100; ++key) {
         EXPECT_EQ(chooser.choose(queryFor({key}), start + 3s).best(), backendServerId("e1"));
     }
 }
 
-TEST(RouteChooser, CountsItsOwnWorkOnTopOfHints)
+TEST(RouteChooser, AddsItsOwnWorkToTheReportedLoad)
 {
     RouteChooser chooser = chooserFor(fleetOf(4));
     std::map<BackendServerId, int> counts;
@@ -195,7 +195,7 @@
         const RouteQuery query = queryFor({1});
         const BackendServerId chosen = *chooser.choose(query, start).best();
         ++counts[chosen];
-        chooser.noteDispatched(chosen, query, 100ms, start);
+        chooser.recordDispatch(chosen, query, 100ms, start);
     }
     EXPECT_EQ(counts.size(), 4U);
     for (const auto &[id, count] : counts) {
@@ -209,14 +209,14 @@
     LoadReport report;
     report.overloadLevel = 5;
     for (const BackendServer &server : fleetOf(2)) {
-        chooser.noteLoad(server.id, report, start);
+        chooser.updateLoad(server.id, report, start);
     }
     RouteQuery query = queryFor({1, 2});
     query.mark = 4;
     EXPECT_TRUE(chooser.choose(query, start).best().has_value());
     report.queuedWork = 1s;
     for (const BackendServer &server : fleetOf(2)) {
-        chooser.noteLoad(server.id, report, start);
+        chooser.updateLoad(server.id, report, start);
     }
     query.mark = 5;
     EXPECT_TRUE(chooser.choose(query, start).isOverloaded);
@@ -224,15 +224,15 @@
     EXPECT_TRUE(chooser.choose(query, start + 1s).best().has_value());
 }
 
-TEST(RouteChooser, SpreadsWhatIsRefusedToAnIdleServerOnly)
+TEST(RouteChooser, SpreadsRefusedRequestsToIdleServersOnly)
 {
     RouteChooser chooser = chooserFor(fleetOf(2));
     RouteQuery query = queryFor({1, 2});
     query.mark = 5;
     LoadReport busy;
     busy.overloadLevel = 5;
-    chooser.noteProbe(backendServerId("e0"), query, 2, busy, start);
-    chooser.noteProbe(backendServerId("e1"), query, 0, {}, start);
+    chooser.recordProbe(backendServerId("e0"), query, 2, busy, start);
+    chooser.recordProbe(backendServerId("e1"), query, 0, {}, start);
     RouteDecision both;
     both.candidates.resize(2);
     both.candidates[0].id = backendServerId("e0");
@@ -240,20 +240,20 @@
     EXPECT_EQ(chooser.chooseAmong(both, query, start).best(), backendServerId("e1"));
     LoadReport waiting;
     waiting.queuedWork = 100ms;
-    chooser.noteProbe(backendServerId("e1"), query, 0, waiting, start);
+    chooser.recordProbe(backendServerId("e1"), query, 0, waiting, start);
     EXPECT_TRUE(chooser.chooseAmong(both, query, start).isOverloaded);
 }
 
-TEST(RouteChooser, BelievesProbesOfItsCandidates)
+TEST(RouteChooser, UsesProbeRepliesOfItsCandidates)
 {
     RouteChooser chooser = chooserFor(fleetOf(20));
     const RouteQuery query = queryFor({1, 2, 3, 4});
     const RouteDecision first = chooser.choose(query, start);
     ASSERT_GE(first.candidates.size(), 2U);
     const BackendServerId warm = first.candidates.back().id;
-    chooser.noteDispatched(first.candidates.front().id, query, 1ms, start);
+    chooser.recordDispatch(first.candidates.front().id, query, 1ms, start);
     for (const RouteCandidate &candidate : first.candidates) {
-        chooser.noteProbe(candidate.id, query, candidate.id == warm ? 4 : 0, {}, start);
+        chooser.recordProbe(candidate.id, query, candidate.id == warm ? 4 : 0, {}, start);
     }
     const RouteDecision second = chooser.chooseAmong(first, query, start);
     EXPECT_EQ(second.best(), warm);
@@ -261,12 +261,12 @@
     EXPECT_EQ(second.candidates.size(), first.candidates.size());
 }
 
-TEST(RouteChooser, TakesTheLowestScoreOfAllWhenAllAreCandidates)
+TEST(RouteChooser, ChoosesTheLowestScoreAmongAllServers)
 {
-    EXPECT_TRUE(rc::check("with three backend servers and no ties it chooses as a look at all of them would", [](std::uint64_t seed) {
+    EXPECT_TRUE(rc::check("with three backend servers and no ties it chooses the one with the lowest score", [](std::uint64_t seed) {
         RouteChooser chooser = chooserFor(fleetOf(3), seed);
         const RouteQuery query = queryFor({1, 2, 3, 4});
-        chooser.noteDispatched(backendServerId("e0"), query, 1ms, start);
+        chooser.recordDispatch(backendServerId("e0"), query, 1ms, start);
         const RouteDecision all = [&] {
             RouteDecision decision;
             for (const BackendServer &server : fleetOf(3)) {
@@ -280,11 +280,11 @@
             report.queuedWork = std::chrono::milliseconds(10 * *rc::gen::inRange(0, 200));
             report.prefillPerPiece = std::chrono::milliseconds(10 * *rc::gen::inRange(1, 20));
             const std::uint32_t warm = *rc::gen::inRange<std::uint32_t>(0, 5);
-            chooser.noteProbe(candidate.id, query, warm, report, start);
-            const double unanswered = candidate.id == backendServerId("e0") ? 1000 : 0;
+            chooser.recordProbe(candidate.id, query, warm, report, start);
+            const double unansweredWork = candidate.id == backendServerId("e0") ? 1000 : 0;
             const double missing = (4.0 - warm) * static_cast<double>(report.prefillPerPiece.count());
             const RoutingWeights weights;
-            const double wait = static_cast<double>(report.queuedWork.count()) + unanswered;
+            const double wait = static_cast<double>(report.queuedWork.count()) + unansweredWork;
             scores.emplace(weights.timeToFirstToken * (wait + missing) + weights.recomputation * missing, candidate.id);
         }
         RC_PRE(scores.size() == 3 && std::next(scores.begin())->first - scores.begin()->first > 2000);
--- a/tests/benchmarks/routing/bench_choice.cpp
+++ b/tests/benchmarks/routing/bench_choice.cpp
@@ -26,7 +26,7 @@
     return fleet;
 }
 
-// Pieces are shared by as many prompts as their depth allows: all, then a tenth for each eight pieces.
+// The first seven pieces are shared by all prompts; each eight pieces deeper, a tenth as many prompts share a piece.
 RouteQuery queryOf(std::uint64_t number)
 {
     std::vector<std::uint32_t> pieces;
@@ -43,7 +43,7 @@
     return query;
 }
 
-// A chooser that knows loads of all and has sent each prompt once.
+// Returns a chooser that has the load of all backend servers and has dispatched each prompt once.
 RouteChooser busyChooser(std::size_t servers, const std::vector<RouteQuery> &queries)
 {
     RouteChooser chooser;
@@ -53,12 +53,12 @@
     report.incarnation = 1;
     for (const BackendServer &server : fleet) {
         report.queuedWork = std::chrono::milliseconds(static_cast<std::uint64_t>(server.id) % 200);
-        chooser.noteLoad(server.id, report, start);
+        chooser.updateLoad(server.id, report, start);
     }
     for (const RouteQuery &query : queries) {
         const BackendServerId chosen = *chooser.choose(query, start).best();
-        chooser.noteDispatched(chosen, query, std::chrono::milliseconds(80), start);
-        chooser.noteReply(chosen, query, 0, std::chrono::milliseconds(80), start);
+        chooser.recordDispatch(chosen, query, std::chrono::milliseconds(80), start);
+        chooser.recordReply(chosen, query, 0, std::chrono::milliseconds(80), start);
     }
     return chooser;
 }
@@ -96,7 +96,7 @@
     }
 }
 
-// The slope over the sizes is the memory for one backend server; what is left at none is the key table.
+// The slope over the fleet size is the memory for one backend server; the intercept is the prefix table.
 void usesMemory(benchmark::State &state)
 {
     const std::vector<RouteQuery> queries = allQueries();
--- a/tests/benchmarks/slopes/routerslopes.cpp
+++ b/tests/benchmarks/slopes/routerslopes.cpp
@@ -46,7 +46,7 @@
         report.incarnation = 1;
         report.queuedWork = std::chrono::milliseconds(i % 90);
         report.prefillPerPiece = std::chrono::milliseconds(100);
-        chooser->noteLoad(backendServerId("engine" + std::to_string(i)), report, start);
+        chooser->updateLoad(backendServerId("engine" + std::to_string(i)), report, start);
     }
     return chooser;
 }
