--- a/src/libs/control/hostlistpoller.cpp
+++ b/src/libs/control/hostlistpoller.cpp
@@ -34,13 +34,13 @@
 
 void HostListPoller::requestBy(Core::TimePoint moment)
 {
-    m_poller.requestBy(moment);
+    m_poller.requestPollBy(moment);
     scheduleNext();
 }
 
 void HostListPoller::noteHeard()
 {
-    m_poller.noteHeard(m_loop.now());
+    m_poller.recordPeerMessage(m_loop.now());
     scheduleNext();
 }
 
@@ -48,7 +48,7 @@
 {
     // The list is as old as the request for it, at least.
     const Core::TimePoint sentAt = m_loop.now();
-    m_poller.noteStarted(sentAt);
+    m_poller.markStarted(sentAt);
     m_hosts.fetch(sentAt + fetchTimeout, [this, sentAt, alive = std::weak_ptr(m_alive)](const Core::Result<std::vector<Store::HostEntry>> &hosts) {
         if (alive.expired()) {
             return;
@@ -58,8 +58,8 @@
             m_received(hosts.value(), sentAt);
         } else {
             m_backoff.noteFailure(m_loop.now());
-            m_poller.noteFailed(m_loop.now());
-            m_poller.requestBy(m_backoff.notBefore());
+            m_poller.handleFailure(m_loop.now());
+            m_poller.requestPollBy(m_backoff.notBefore());
         }
         scheduleNext();
     });
--- a/src/libs/decisions/control/hostnews.cpp
+++ b/src/libs/decisions/control/hostnews.cpp
@@ -125,12 +125,12 @@
 std::vector<SendHostChanges> HostNews::advance(std::span<const std::string> peers, Core::TimePoint now)
 {
     std::vector<SendHostChanges> messages;
-    if (m_rumours.empty() || peers.empty() || now < m_nextRound || !m_budget.isOpen(now)) {
+    if (m_rumours.empty() || peers.empty() || now < m_nextRound || !m_budget.mayConsume(now)) {
         return messages;
     }
     const std::vector<HostChange> changes = nextBatch();
     for (std::string &peer : m_random.sample(peers, m_options.fanout)) {
-        m_budget.spend(sizeOf(changes), now);
+        m_budget.consume(sizeOf(changes), now);
         messages.push_back({std::move(peer), changes});
     }
     m_nextRound = now + m_options.roundInterval;
@@ -163,7 +163,7 @@
     if (m_rumours.empty()) {
         return std::nullopt;
     }
-    return m_budget.isOpen(now) ? m_nextRound : std::max(m_nextRound, now + m_options.roundInterval);
+    return m_budget.mayConsume(now) ? m_nextRound : std::max(m_nextRound, now + m_options.roundInterval);
 }
 
 } // namespace Verbena::Decisions
--- a/src/libs/decisions/control/hostnews.h
+++ b/src/libs/decisions/control/hostnews.h
@@ -1,6 +1,6 @@
 #pragma once
 
-#include "../spread/pushbudget.h"
+#include "../spread/bytebudget.h"
 #include "../spread/randomsource.h"
 
 #include <core/time.h>
@@ -90,7 +90,7 @@
 
     HostNewsOptions m_options;
     RandomSource m_random;
-    PushBudget m_budget;
+    ByteBudget m_budget;
     bool m_isComplete = false;
     std::unordered_map<std::string, Known> m_hosts;
     std::deque<Rumour> m_rumours;
--- a/src/libs/decisions/spread/pushbudget.cpp
+++ b/src/libs/decisions/spread/bytebudget.cpp
@@ -1,10 +1,10 @@
-#include "pushbudget.h"
+#include "bytebudget.h"
 
 #include <algorithm>
 
 namespace Verbena::Decisions {
 
-PushBudget::PushBudget(std::size_t bytesPerSecond, std::size_t burstBytes, Core::TimePoint now)
+ByteBudget::ByteBudget(std::size_t bytesPerSecond, std::size_t burstBytes, Core::TimePoint now)
     : m_bytesPerSecond(static_cast<double>(bytesPerSecond))
     , m_burstBytes(static_cast<double>(burstBytes))
     , m_level(m_burstBytes)
@@ -12,18 +12,18 @@
 {
 }
 
-bool PushBudget::isOpen(Core::TimePoint now) const
+bool ByteBudget::mayConsume(Core::TimePoint now) const
 {
     return levelAt(now) > 0;
 }
 
-void PushBudget::spend(std::size_t bytes, Core::TimePoint now)
+void ByteBudget::consume(std::size_t bytes, Core::TimePoint now)
 {
     m_level = levelAt(now) - static_cast<double>(bytes);
     m_updatedAt = std::max(m_updatedAt, now);
 }
 
-double PushBudget::levelAt(Core::TimePoint now) const
+double ByteBudget::levelAt(Core::TimePoint now) const
 {
     const std::chrono::duration<double> elapsed = std::max(now, m_updatedAt) - m_updatedAt;
     return std::min(m_burstBytes, m_level + elapsed.count() * m_bytesPerSecond);
--- a/src/libs/decisions/spread/feedpoller.h
+++ b/src/libs/decisions/spread/feedpoller.h
@@ -6,55 +6,55 @@
 
 namespace Verbena::Decisions {
 
-/// \brief How the table's change feed is polled by all processes together.
+/// \brief Options of a FeedPoller.
 struct FeedPollerOptions
 {
-    double pollsPerSecond = 8; ///< Of all processes together.
-    std::chrono::milliseconds minimumInterval{500}; ///< Between two polls of one process.
-    std::chrono::milliseconds silenceLimit{20'000}; ///< A process that heard no peer for this long polls for itself.
-    std::chrono::milliseconds silentInterval{10'000}; ///< Mean between the polls of such a process.
-    std::chrono::milliseconds failureInterval{1'000}; ///< Least time to the next poll after one that failed.
+    double pollsPerSecond = 8; ///< Common rate of all processes.
+    std::chrono::milliseconds minimumInterval{500}; ///< Minimum interval between two polls of one process.
+    std::chrono::milliseconds silenceLimit{20'000}; ///< Time without a message from a peer after which a process polls on its own.
+    std::chrono::milliseconds silentInterval{10'000}; ///< Mean interval between the polls of such a process.
+    std::chrono::milliseconds failureInterval{1'000}; ///< Minimum time between a failed poll and the next one.
 };
 
-/// \brief Decides when this process polls the table's change feed.
+/// \brief Schedule for the polls of a table's change feed by one process.
 ///
-/// Each process polls at random moments, without memory, at its part of the common rate. Together they make a steady stream of
-/// polls that no process leads and that no failure stops: with 8 polls a second a change waits longer than t with
-/// probability exp(-8 t/s), 0.6 s at p99, whatever the number of processes.
+/// Each process polls as a Poisson process at its fraction of the common rate. Together they make a steady stream of polls that needs no
+/// leader and that no single failure stops. With 8 polls a second, a change waits longer than t with probability exp(-8 t/s), which is
+/// 0.6 s at p99, regardless of the number of processes.
 class FeedPoller
 {
 public:
     FeedPoller(const FeedPollerOptions &options, std::uint64_t seed, Core::TimePoint now);
 
-    /// \brief Takes the number of processes that poll together, as far as it is known.
+    /// \brief Sets the assumed number of processes that share the common rate.
     void setProcessCount(std::size_t count);
 
-    /// \brief Notes that a peer was heard at \a now.
-    void noteHeard(Core::TimePoint now);
+    /// \brief Records that a message from a peer arrived at \a now.
+    void recordPeerMessage(Core::TimePoint now);
 
-    /// \brief Notes that a poll began at \a now; the next moment is drawn.
-    void noteStarted(Core::TimePoint now);
+    /// \brief Records that a poll started at \a now and chooses a random time for the next one.
+    void markStarted(Core::TimePoint now);
 
-    /// \brief Notes that a poll failed at \a now.
-    void noteFailed(Core::TimePoint now);
+    /// \brief Delays the next poll after one that failed at \a now.
+    void handleFailure(Core::TimePoint now);
 
-    /// \brief Asks for a poll at \a moment at the latest, unless one begins before.
-    void requestBy(Core::TimePoint moment);
+    /// \brief Requests a poll at \a latest or earlier; the start of any poll fulfils the request.
+    void requestPollBy(Core::TimePoint latest);
 
-    /// \brief The moment of the next poll as things stand.
+    /// \brief Returns the time of the next poll, which later calls may change.
     Core::TimePoint nextPoll() const;
 
 private:
-    Core::TimePoint drawnMoment(std::chrono::duration<double> mean) const;
+    Core::TimePoint randomTime(std::chrono::duration<double> mean) const;
 
     FeedPollerOptions m_options;
     RandomSource m_random;
     std::size_t m_processCount = 1;
-    double m_draw; ///< Exponential with mean 1, to be multiplied with the mean that holds.
-    Core::TimePoint m_since;
-    Core::TimePoint m_heardAt;
+    double m_randomFactor; ///< Exponentially distributed with mean 1; multiplied by the current mean interval.
+    Core::TimePoint m_lastPollAt; ///< Start of the last poll, or creation of the poller.
+    Core::TimePoint m_lastPeerMessageAt;
     Core::TimePoint m_notBefore;
-    Core::TimePoint m_requestedBy = Core::TimePoint::max();
+    Core::TimePoint m_requestedPollBy = Core::TimePoint::max();
 };
 
 } // namespace Verbena::Decisions
--- a/src/libs/decisions/spread/spreadplan.cpp
+++ b/src/libs/decisions/spread/gossipplan.cpp
@@ -1,35 +1,35 @@
-#include "spreadplan.h"
+#include "gossipplan.h"
 
 #include <algorithm>
 #include <utility>
 
 namespace Verbena::Decisions {
 
-SpreadPlan::SpreadPlan(const SpreadPlanOptions &options, std::uint64_t seed, Core::TimePoint now)
+GossipPlan::GossipPlan(const GossipPlanOptions &options, std::uint64_t seed, Core::TimePoint now)
     : m_options(options)
     , m_random(seed)
     , m_nextExchange(now)
 {
 }
 
-std::vector<std::string> SpreadPlan::drawAnnounced(std::span<const std::string> peers)
+std::vector<std::string> GossipPlan::sampleAnnouncementPeers(std::span<const std::string> peers)
 {
     return m_random.sample(peers, m_options.fanout);
 }
 
-std::vector<std::string> SpreadPlan::drawExchange(std::span<const std::string> peers, bool isStarting, Core::TimePoint now)
+std::vector<std::string> GossipPlan::sampleExchangePeers(std::span<const std::string> peers, bool isStarting, Core::TimePoint now)
 {
     if (now < m_nextExchange) {
         return {};
     }
-    // Between half and one and a half of the interval, so that processes that started together drift apart.
+    // Between 0.5 and 1.5 intervals, so that processes that started at the same time do not stay synchronised.
     const double factor = 0.5 + m_random.uniform();
     const std::chrono::milliseconds interval = isStarting ? m_options.startInterval : m_options.exchangeInterval;
     m_nextExchange = now + std::chrono::duration_cast<Core::Clock::duration>(interval * factor);
     return m_random.sample(peers, isStarting ? m_options.fanout : 1);
 }
 
-bool SpreadPlan::beginPull(const std::string &peer, Core::TimePoint now)
+bool GossipPlan::beginPull(const std::string &peer, Core::TimePoint now)
 {
     if (m_pull.has_value()) {
         return false;
@@ -38,7 +38,7 @@
     return true;
 }
 
-void SpreadPlan::noteNewer(const std::string &peer, std::uint64_t revision)
+void GossipPlan::recordNewerPeer(const std::string &peer, std::uint64_t revision)
 {
     if (revision > m_newerRevision) {
         m_newerPeer = peer;
@@ -46,7 +46,7 @@
     }
 }
 
-std::optional<std::string> SpreadPlan::takeNewer(std::uint64_t revision)
+std::optional<std::string> GossipPlan::takeNewerPeer(std::uint64_t revision)
 {
     if (std::exchange(m_newerRevision, 0) <= revision) {
         return std::nullopt;
@@ -54,7 +54,7 @@
     return std::move(m_newerPeer);
 }
 
-bool SpreadPlan::continuePull(const std::string &peer, Core::TimePoint now)
+bool GossipPlan::continuePull(const std::string &peer, Core::TimePoint now)
 {
     if (!m_pull.has_value() || m_pull->peer != peer) {
         return false;
@@ -63,14 +63,14 @@
     return true;
 }
 
-void SpreadPlan::endPull(const std::string &peer)
+void GossipPlan::endPull(const std::string &peer)
 {
     if (m_pull.has_value() && m_pull->peer == peer) {
         m_pull.reset();
     }
 }
 
-void SpreadPlan::expirePull(Core::TimePoint now)
+void GossipPlan::expirePull(Core::TimePoint now)
 {
     if (m_pull.has_value() && m_pull->deadline <= now) {
         m_pull.reset();
@@ -78,7 +78,7 @@
     }
 }
 
-Core::TimePoint SpreadPlan::nextDeadline() const
+Core::TimePoint GossipPlan::nextDeadline() const
 {
     return m_pull.has_value() ? std::min(m_nextExchange, m_pull->deadline) : m_nextExchange;
 }
--- a/src/libs/decisions/spread/randomsource.cpp
+++ b/src/libs/decisions/spread/randomsource.cpp
@@ -12,7 +12,7 @@
 
 std::uint64_t RandomSource::next()
 {
-    // SplitMix64: tiny state, and good enough to spread load.
+    // SplitMix64: its state is small, and its quality is sufficient for spreading load.
     m_state += 0x9e3779b97f4a7c15ULL;
     std::uint64_t value = m_state;
     value = (value ^ (value >> 30)) * 0xbf58476d1ce4e5b9ULL;
@@ -32,12 +32,12 @@
 
 std::vector<std::string> RandomSource::sample(std::span<const std::string> all, std::size_t count)
 {
-    // Floyd's algorithm: a draw costs by the size of the sample, not by the number of members.
+    // Floyd's algorithm: the cost depends on the size of the sample, not on the number of members.
     std::vector<std::size_t> chosen;
-    const std::size_t kept = std::min(count, all.size());
-    for (std::size_t last = all.size() - kept; last < all.size(); ++last) {
-        const std::size_t drawn = next() % (last + 1);
-        chosen.push_back(std::find(chosen.begin(), chosen.end(), drawn) == chosen.end() ? drawn : last);
+    const std::size_t sampleSize = std::min(count, all.size());
+    for (std::size_t last = all.size() - sampleSize; last < all.size(); ++last) {
+        const std::size_t candidate = next() % (last + 1);
+        chosen.push_back(std::find(chosen.begin(), chosen.end(), candidate) == chosen.end() ? candidate : last);
     }
     std::vector<std::string> members;
     members.reserve(chosen.size());
--- a/src/libs/decisions/spread/randomsource.h
+++ b/src/libs/decisions/spread/randomsource.h
@@ -8,21 +8,22 @@
 
 namespace Verbena::Decisions {
 
-/// \brief Pseudo-random numbers from a seed, the same on every machine.
+/// \brief Pseudo-random number generator whose sequence depends only on the seed, on every machine.
 class RandomSource
 {
 public:
     explicit RandomSource(std::uint64_t seed);
 
+    /// \brief Returns the next 64 random bits.
     std::uint64_t next();
 
-    /// \brief Evenly spread over [0, 1).
+    /// \brief Returns a number that is uniformly distributed over [0, 1).
     double uniform();
 
-    /// \brief Exponentially distributed with mean 1.
+    /// \brief Returns an exponentially distributed number with mean 1.
     double exponential();
 
-    /// \brief Up to \a count different members of \a all.
+    /// \brief Returns up to \a count different random members of \a all.
     std::vector<std::string> sample(std::span<const std::string> all, std::size_t count);
 
 private:
--- a/src/libs/decisions/spread/recoveryplan.cpp
+++ b/src/libs/decisions/spread/recoveryplan.cpp
@@ -6,9 +6,9 @@
 
 namespace {
 
-Core::Clock::duration partOf(std::chrono::milliseconds span, double part)
+Core::Clock::duration fractionOf(std::chrono::milliseconds interval, double fraction)
 {
-    return std::chrono::duration_cast<Core::Clock::duration>(span * part);
+    return std::chrono::duration_cast<Core::Clock::duration>(interval * fraction);
 }
 
 } // namespace
@@ -17,37 +17,37 @@
     : m_options(options)
     , m_random(seed)
 {
-    m_snapshotMoment = start + options.peerPatience + partOf(options.snapshotSpread, m_random.uniform());
+    m_snapshotReadAt = start + options.peerTimeout + fractionOf(options.snapshotSpread, m_random.uniform());
 }
 
-void RecoveryPlan::noteProgress(Core::TimePoint now)
+void RecoveryPlan::handleProgress(Core::TimePoint now)
 {
-    if (m_snapshotMoment.has_value()) {
-        m_snapshotMoment = std::max(*m_snapshotMoment, now + m_options.peerPatience);
+    if (m_snapshotReadAt.has_value()) {
+        m_snapshotReadAt = std::max(*m_snapshotReadAt, now + m_options.peerTimeout);
     }
 }
 
-void RecoveryPlan::noteRecovered()
+void RecoveryPlan::markRecovered()
 {
     m_isRecovered = true;
-    m_snapshotMoment.reset();
-    m_tableMoment.reset();
+    m_snapshotReadAt.reset();
+    m_tableReadAt.reset();
 }
 
-void RecoveryPlan::noteSnapshotStarted()
+void RecoveryPlan::markSnapshotStarted()
 {
-    m_snapshotMoment.reset();
+    m_snapshotReadAt.reset();
 }
 
-void RecoveryPlan::noteSnapshotFailed(bool isMissing, Core::TimePoint now)
+void RecoveryPlan::handleSnapshotFailure(bool isMissing, Core::TimePoint now)
 {
     if (m_isRecovered) {
         return;
     }
-    // The object store may be back later, and the table may answer before: both are tried until one does.
-    m_snapshotMoment = now + m_options.snapshotSpread + partOf(m_options.snapshotSpread, m_random.uniform());
-    if (!m_tableMoment.has_value()) {
-        m_tableMoment = now + partOf(isMissing ? m_options.newTableSpread : m_options.tableSpread, m_random.uniform());
+    // The object store may recover later, or the table may answer earlier: both are tried until one of them succeeds.
+    m_snapshotReadAt = now + m_options.snapshotSpread + fractionOf(m_options.snapshotSpread, m_random.uniform());
+    if (!m_tableReadAt.has_value()) {
+        m_tableReadAt = now + fractionOf(isMissing ? m_options.newTableSpread : m_options.tableSpread, m_random.uniform());
     }
 }
 
@@ -56,14 +56,14 @@
     return m_isRecovered;
 }
 
-std::optional<Core::TimePoint> RecoveryPlan::snapshotMoment() const
+std::optional<Core::TimePoint> RecoveryPlan::snapshotReadAt() const
 {
-    return m_snapshotMoment;
+    return m_snapshotReadAt;
 }
 
-std::optional<Core::TimePoint> RecoveryPlan::tableMoment() const
+std::optional<Core::TimePoint> RecoveryPlan::tableReadAt() const
 {
-    return m_tableMoment;
+    return m_tableReadAt;
 }
 
 } // namespace Verbena::Decisions
--- a/src/libs/decisions/spread/settingsdelta.h
+++ b/src/libs/decisions/spread/settingsdelta.h
@@ -8,7 +8,7 @@
 
 namespace Verbena::Decisions {
 
-/// \brief One row of the settings tree; a deleted row stays as a tombstone.
+/// \brief Row of the settings tree; a deleted row remains as a tombstone.
 struct SettingsRow
 {
     std::string path;
@@ -19,35 +19,36 @@
     bool operator==(const SettingsRow &) const = default;
 };
 
-/// \brief All rows whose last change lies after \a since and up to \a covered, as a holder of revision \a highest has them.
+/// \brief All rows that were last changed after the revision \a since and up to \a covered.
 ///
-/// For a page of the table that is not the last, \a highest is a lower bound only.
+/// The rows are in the state of their sender, which holds the tree at revision \a highest. For a page of the table other than the last,
+/// \a highest is only a lower bound.
 struct SettingsDelta
 {
     std::uint64_t since = 0;
     std::uint64_t covered = 0;
     std::uint64_t highest = 0;
-    std::vector<SettingsRow> rows; ///< By rising revision.
+    std::vector<SettingsRow> rows; ///< Rows in ascending order of their revisions.
     bool isFromTable = false;
 
-    /// \brief True if nothing that the holder has is left out after \a since.
+    /// \brief Returns whether the delta contains all changes of its sender after \a since.
     bool isLast() const
     {
         return covered == highest;
     }
 };
 
-/// \brief What the rows of a table's answer say, read since a revision with a limit on their number.
+/// \brief Returns the delta for a page of the table that was read with \a rows after the revision \a since.
 ///
-/// A full page may end inside of a commit, so its last commit is left to the next page.
+/// A page of \a limit rows may end inside a commit, so its last commit is left to the next page.
 SettingsDelta deltaOfTablePage(std::uint64_t since, std::size_t limit, std::vector<SettingsRow> rows);
 
-/// \brief What processes tell each other of the settings they hold, a few bytes whatever the size of the tree.
+/// \brief Summary of the settings that a process holds, for its peers; its size does not depend on that of the tree.
 struct SettingsDigest
 {
-    std::uint64_t revision = 0; ///< Every change up to this one is held.
-    std::uint64_t hash = 0; ///< Over all rows.
-    std::optional<std::chrono::microseconds> verifiedAge; ///< Every change accepted longer ago than this is held; nothing if never known.
+    std::uint64_t revision = 0; ///< Revision up to which the process holds all changes.
+    std::uint64_t hash = 0; ///< Hash of all rows.
+    std::optional<std::chrono::microseconds> verifiedAge; ///< The process holds all changes accepted longer ago than this; nothing if it never verified that.
 };
 
 } // namespace Verbena::Decisions
--- a/src/libs/decisions/spread/settingsreplica.cpp
+++ b/src/libs/decisions/spread/settingsreplica.cpp
@@ -6,14 +6,15 @@
 
 namespace {
 
-constexpr std::uint64_t spreadSeed = 1;
+constexpr std::uint64_t gossipSeed = 1;
 constexpr std::uint64_t pollerSeed = 2;
 constexpr std::uint64_t recoverySeed = 3;
 
-constexpr std::size_t maximumGreeted = 3; // Peers that a starting process asks at once.
+constexpr std::size_t maximumInitialPeers = 3; // Number of peers that a starting process asks immediately.
 
-// A digest is answered only if it helps its sender: by something newer, or by a proof that is fresher by this much.
-constexpr std::chrono::seconds notableFreshness{1};
+// A digest is answered only if the answer helps its sender: if this process has newer settings, or verified its settings more recently by
+// at least this much.
+constexpr std::chrono::seconds minimumFreshnessGain{1};
 
 std::size_t sizeOf(const SettingsDelta &delta)
 {
@@ -28,7 +29,7 @@
 
 SettingsReplica::SettingsReplica(const SettingsReplicaOptions &options, std::uint64_t seed, Core::TimePoint start)
     : m_options(options)
-    , m_spread(options.spread, RandomSource(seed ^ spreadSeed).next(), start)
+    , m_gossip(options.gossip, RandomSource(seed ^ gossipSeed).next(), start)
     , m_poller(options.poller, RandomSource(seed ^ pollerSeed).next(), start)
     , m_recovery(options.recovery, RandomSource(seed ^ recoverySeed).next(), start)
     , m_pushBudget(options.pushBytesPerSecond, options.pushBurstBytes, start)
@@ -39,16 +40,16 @@
 SettingsReplica::Actions SettingsReplica::advance(Peers peers, Core::TimePoint now)
 {
     Actions actions;
-    m_spread.expirePull(now);
+    m_gossip.expirePull(now);
     if (m_catchUpDeadline <= now) {
         m_store.abandonCatchUp();
         m_catchUpDeadline = Core::TimePoint::max();
     }
-    for (const std::string &peer : m_spread.drawExchange(peers, !m_recovery.isRecovered(), now)) {
+    for (const std::string &peer : m_gossip.sampleExchangePeers(peers, !m_recovery.isRecovered(), now)) {
         actions.emplace_back(SendDigest{peer, digest(now)});
     }
-    if (m_recovery.snapshotMoment().value_or(Core::TimePoint::max()) <= now) {
-        m_recovery.noteSnapshotStarted();
+    if (m_recovery.snapshotReadAt().value_or(Core::TimePoint::max()) <= now) {
+        m_recovery.markSnapshotStarted();
         actions.emplace_back(ReadSnapshot{});
     }
     if (!m_isScanning && nextScan() <= now) {
@@ -57,30 +58,30 @@
     return actions;
 }
 
-SettingsReplica::Actions SettingsReplica::greetPeer(const std::string &peer, Core::TimePoint now)
+SettingsReplica::Actions SettingsReplica::handlePeerConnected(const std::string &peer, Core::TimePoint now)
 {
-    if (m_recovery.isRecovered() || m_greetedCount >= maximumGreeted) {
+    if (m_recovery.isRecovered() || m_initialPeerCount >= maximumInitialPeers) {
         return {};
     }
-    ++m_greetedCount;
+    ++m_initialPeerCount;
     return {SendDigest{peer, digest(now)}};
 }
 
 SettingsReplica::Actions SettingsReplica::receiveDigest(const std::string &peer, const SettingsDigest &theirs, Core::TimePoint now)
 {
-    m_poller.noteHeard(now);
+    m_poller.recordPeerMessage(now);
     const std::uint64_t ours = m_store.revision();
     if (theirs.revision > ours) {
-        if (!m_spread.beginPull(peer, now)) {
-            m_spread.noteNewer(peer, theirs.revision);
+        if (!m_gossip.beginPull(peer, now)) {
+            m_gossip.recordNewerPeer(peer, theirs.revision);
             return {};
         }
-        m_recovery.noteProgress(now);
+        m_recovery.handleProgress(now);
         return {SendPull{peer, m_store.cursor()}};
     }
-    const bool isHelpful = theirs.revision < ours || hasFresherProof(theirs, now);
+    const bool isHelpful = theirs.revision < ours || hasFresherVerification(theirs, now);
     if (theirs.verifiedAge.has_value()) {
-        noteVerified(now - *theirs.verifiedAge);
+        updateVerifiedAt(now - *theirs.verifiedAge);
     }
     if (theirs.revision == ours && theirs.hash != m_store.hash()) {
         return {ReportDivergence{peer, ours}};
@@ -93,32 +94,32 @@
 
 SettingsReplica::Actions SettingsReplica::receivePull(const std::string &peer, std::uint64_t since, Core::TimePoint now)
 {
-    m_poller.noteHeard(now);
-    // Over the budget there is no answer: the peer's deadline passes and it asks another.
-    if (!m_pushBudget.isOpen(now)) {
+    m_poller.recordPeerMessage(now);
+    // Without budget there is no answer: the pull of the peer times out, and it asks another process.
+    if (!m_pushBudget.mayConsume(now)) {
         return {};
     }
     SettingsDelta delta = m_store.deltaSince(since, m_options.pageBytes);
-    m_pushBudget.spend(sizeOf(delta), now);
+    m_pushBudget.consume(sizeOf(delta), now);
     return {SendPush{peer, std::move(delta)}};
 }
 
 SettingsReplica::Actions SettingsReplica::receivePush(const std::string &peer, SettingsDelta delta, Peers peers, Core::TimePoint now)
 {
-    m_poller.noteHeard(now);
+    m_poller.recordPeerMessage(now);
     MergeResult result = m_store.merge(std::move(delta));
     if (result.outcome != MergeOutcome::Continued) {
-        m_spread.endPull(peer);
-        Actions actions = takeMerged(std::move(result), peers, now);
-        const std::optional<std::string> newer = m_spread.takeNewer(m_store.revision());
-        if (newer.has_value() && m_spread.beginPull(*newer, now)) {
+        m_gossip.endPull(peer);
+        Actions actions = handleMergeResult(std::move(result), peers, now);
+        const std::optional<std::string> newer = m_gossip.takeNewerPeer(m_store.revision());
+        if (newer.has_value() && m_gossip.beginPull(*newer, now)) {
             actions.emplace_back(SendPull{*newer, m_store.cursor()});
         }
         return actions;
     }
-    Actions actions = takeMerged(std::move(result), peers, now);
-    if (m_spread.continuePull(peer, now)) {
-        m_recovery.noteProgress(now);
+    Actions actions = handleMergeResult(std::move(result), peers, now);
+    if (m_gossip.continuePull(peer, now)) {
+        m_recovery.handleProgress(now);
         actions.emplace_back(SendPull{peer, m_store.cursor()});
     }
     return actions;
@@ -133,14 +134,14 @@
     SettingsDelta delta = deltaOfTablePage(scan.since, scan.limit, std::move(rows));
     const std::uint64_t highest = delta.highest;
     const bool isLast = delta.isLast();
-    Actions actions = takeMerged(m_store.merge(std::move(delta)), peers, now);
+    Actions actions = handleMergeResult(m_store.merge(std::move(delta)), peers, now);
     if (!isLast) {
         actions.emplace_back(beginScan(now));
         return actions;
     }
-    m_recovery.noteRecovered();
+    m_recovery.markRecovered();
     if (m_store.revision() >= highest) {
-        noteVerified(sentAt);
+        updateVerifiedAt(sentAt);
     }
     return actions;
 }
@@ -148,24 +149,24 @@
 void SettingsReplica::receiveTableFailure(Core::TimePoint now)
 {
     m_isScanning = false;
-    m_poller.noteFailed(now);
+    m_poller.handleFailure(now);
 }
 
 SettingsReplica::Actions SettingsReplica::receiveSnapshot(SettingsDelta snapshot, Peers peers, Core::TimePoint now)
 {
-    // What changed since the snapshot is read soon, at the pace at which snapshots are.
-    m_poller.requestBy(now + m_options.recovery.snapshotSpread);
-    Actions actions = takeMerged(m_store.merge(std::move(snapshot)), peers, now);
+    // The changes since the snapshot are read from the table soon, spread over the same interval as the reads of the snapshot.
+    m_poller.requestPollBy(now + m_options.recovery.snapshotSpread);
+    Actions actions = handleMergeResult(m_store.merge(std::move(snapshot)), peers, now);
     if (!m_recovery.isRecovered()) {
-        // An empty snapshot, or one older than what peers have begun to send, is none.
-        m_recovery.noteSnapshotFailed(true, now);
+        // An empty snapshot, or one older than the settings that peers have begun to send, counts as missing.
+        m_recovery.handleSnapshotFailure(true, now);
     }
     return actions;
 }
 
 void SettingsReplica::receiveSnapshotFailure(bool isMissing, Core::TimePoint now)
 {
-    m_recovery.noteSnapshotFailed(isMissing, now);
+    m_recovery.handleSnapshotFailure(isMissing, now);
 }
 
 void SettingsReplica::setProcessCount(std::size_t count)
@@ -175,7 +176,7 @@
 
 Core::TimePoint SettingsReplica::nextDeadline() const
 {
-    Core::TimePoint next = std::min({m_spread.nextDeadline(), m_catchUpDeadline, m_recovery.snapshotMoment().value_or(Core::TimePoint::max())});
+    Core::TimePoint next = std::min({m_gossip.nextDeadline(), m_catchUpDeadline, m_recovery.snapshotReadAt().value_or(Core::TimePoint::max())});
     return m_isScanning ? next : std::min(next, nextScan());
 }
 
@@ -203,17 +204,17 @@
     return digest;
 }
 
-bool SettingsReplica::hasFresherProof(const SettingsDigest &theirs, Core::TimePoint now) const
+bool SettingsReplica::hasFresherVerification(const SettingsDigest &theirs, Core::TimePoint now) const
 {
     if (!m_verifiedAt.has_value()) {
         return false;
     }
-    return !theirs.verifiedAge.has_value() || *m_verifiedAt > now - *theirs.verifiedAge + notableFreshness;
+    return !theirs.verifiedAge.has_value() || *m_verifiedAt > now - *theirs.verifiedAge + minimumFreshnessGain;
 }
 
-void SettingsReplica::noteVerified(Core::TimePoint moment)
+void SettingsReplica::updateVerifiedAt(Core::TimePoint time)
 {
-    m_verifiedAt = std::max(m_verifiedAt.value_or(moment), moment);
+    m_verifiedAt = std::max(m_verifiedAt.value_or(time), time);
 }
 
 Core::TimePoint SettingsReplica::nextScan() const
@@ -221,18 +222,18 @@
     if (m_recovery.isRecovered()) {
         return m_poller.nextPoll();
     }
-    const auto moment = m_recovery.tableMoment();
-    return moment.has_value() ? std::max(*moment, m_poller.nextPoll()) : Core::TimePoint::max();
+    const auto tableReadAt = m_recovery.tableReadAt();
+    return tableReadAt.has_value() ? std::max(*tableReadAt, m_poller.nextPoll()) : Core::TimePoint::max();
 }
 
 ScanTable SettingsReplica::beginScan(Core::TimePoint now)
 {
     m_isScanning = true;
-    m_poller.noteStarted(now);
+    m_poller.markStarted(now);
     return {m_store.cursor(), m_pageRows};
 }
 
-SettingsReplica::Actions SettingsReplica::takeMerged(MergeResult result, Peers peers, Core::TimePoint now)
+SettingsReplica::Actions SettingsReplica::handleMergeResult(MergeResult result, Peers peers, Core::TimePoint now)
 {
     if (result.outcome == MergeOutcome::Continued) {
         m_catchUpDeadline = now + m_options.catchUpTimeout;
@@ -241,10 +242,10 @@
         return {};
     }
     m_catchUpDeadline = Core::TimePoint::max();
-    m_recovery.noteRecovered();
+    m_recovery.markRecovered();
     Actions actions;
     actions.emplace_back(PublishSettings{m_store.revision(), std::move(result.changed)});
-    for (const std::string &peer : m_spread.drawAnnounced(peers)) {
+    for (const std::string &peer : m_gossip.sampleAnnouncementPeers(peers)) {
         actions.emplace_back(SendDigest{peer, digest(now)});
     }
     return actions;
--- a/src/libs/decisions/spread/settingsreplica.h
+++ b/src/libs/decisions/spread/settingsreplica.h
@@ -1,57 +1,59 @@
 #pragma once
 
+#include "bytebudget.h"
 #include "feedpoller.h"
-#include "pushbudget.h"
+#include "gossipplan.h"
 #include "recoveryplan.h"
 #include "settingsstore.h"
-#include "spreadplan.h"
 
 #include <span>
 #include <variant>
 
 namespace Verbena::Decisions {
 
-/// \brief Send what is held to \a peer in short.
+/// \brief Action: sends the digest of the held settings to \a peer.
 struct SendDigest
 {
     std::string peer;
     SettingsDigest digest;
 };
 
-/// \brief Ask \a peer for what changed after \a since.
+/// \brief Action: requests the changes after the revision \a since from \a peer.
 struct SendPull
 {
     std::string peer;
     std::uint64_t since = 0;
 };
 
-/// \brief Send content to \a peer.
+/// \brief Action: sends rows to \a peer.
 struct SendPush
 {
     std::string peer;
     SettingsDelta delta;
 };
 
-/// \brief Read the table's rows that changed after \a since; the answer goes to receiveTablePage() or receiveTableFailure().
+/// \brief Action: reads up to \a limit rows of the table that changed after the revision \a since.
+///
+/// The answer is passed to receiveTablePage() or receiveTableFailure().
 struct ScanTable
 {
     std::uint64_t since = 0;
     std::size_t limit = 0;
 };
 
-/// \brief Read the snapshot; the answer goes to receiveSnapshot() or receiveSnapshotFailure().
+/// \brief Action: reads the snapshot. The answer is passed to receiveSnapshot() or receiveSnapshotFailure().
 struct ReadSnapshot
 {
 };
 
-/// \brief Put in force what \a rows change; together they lead to \a revision.
+/// \brief Action: applies the changed \a rows, which lead to \a revision, to the settings in force.
 struct PublishSettings
 {
     std::uint64_t revision = 0;
     std::vector<SettingsRow> rows;
 };
 
-/// \brief Tell people that \a peer holds other rows at the same revision, which must never be.
+/// \brief Action: reports to the operators that \a peer holds other rows at the same \a revision, which must never happen.
 struct ReportDivergence
 {
     std::string peer;
@@ -60,22 +62,22 @@
 
 using ReplicaAction = std::variant<SendDigest, SendPull, SendPush, ScanTable, ReadSnapshot, PublishSettings, ReportDivergence>;
 
-/// \brief How a replica of the settings tree behaves.
+/// \brief Options of a SettingsReplica.
 struct SettingsReplicaOptions
 {
-    SpreadPlanOptions spread;
+    GossipPlanOptions gossip;
     FeedPollerOptions poller;
     RecoveryPlanOptions recovery;
-    std::size_t pageBytes = 256 * 1024; ///< Of one push, about.
-    std::size_t pageRows = 500; ///< Of one scan of the table.
-    std::size_t pushBytesPerSecond = 16 * 1024 * 1024; ///< Served to peers, mostly to those that start.
-    std::size_t pushBurstBytes = 16 * 1024 * 1024; ///< Holds the whole tree of 18,000 organisations.
-    std::chrono::milliseconds catchUpTimeout{10'000}; ///< A later state that is not whole by then is given up.
+    std::size_t pageBytes = 256 * 1024; ///< Approximate maximum size of one push.
+    std::size_t pageRows = 500; ///< Number of rows of one scan of the table.
+    std::size_t pushBytesPerSecond = 16 * 1024 * 1024; ///< Rate at which rows are sent to peers, mostly to starting ones.
+    std::size_t pushBurstBytes = 16 * 1024 * 1024; ///< Bytes that may be sent at once; the whole tree of 18,000 organisations fits.
+    std::chrono::milliseconds catchUpTimeout{10'000}; ///< Time without progress after which an incomplete later state is discarded.
 };
 
-/// \brief One process's copy of the settings tree: what it tells, asks, reads and puts in force.
+/// \brief Copy of the settings tree in one process, kept up to date by gossip with peers and by reads of the table.
 ///
-/// Each command returns what is to be done now. \a peers are all that can be reached at that moment.
+/// Each event returns the actions to execute. The parameter \a peers contains all peers that can currently be reached.
 class SettingsReplica
 {
 public:
@@ -84,53 +86,64 @@
 
     SettingsReplica(const SettingsReplicaOptions &options, std::uint64_t seed, Core::TimePoint start);
 
-    /// \brief Does what is due at \a now.
+    /// \brief Handles timeouts and starts whatever is due at \a now.
     Actions advance(Peers peers, Core::TimePoint now);
 
-    /// \brief Notes that \a peer can be reached now; a starting process asks the first few at once.
-    Actions greetPeer(const std::string &peer, Core::TimePoint now);
+    /// \brief Handles that \a peer can be reached; a starting process asks the first few peers immediately.
+    Actions handlePeerConnected(const std::string &peer, Core::TimePoint now);
 
+    /// \brief Handles the \a digest of \a peer: pulls newer settings, or answers if those of this process are newer or were verified more recently.
     Actions receiveDigest(const std::string &peer, const SettingsDigest &digest, Core::TimePoint now);
+    /// \brief Handles the request of \a peer for the changes after \a since.
     Actions receivePull(const std::string &peer, std::uint64_t since, Core::TimePoint now);
+    /// \brief Merges the \a delta that \a peer sent and continues with the next pull.
     Actions receivePush(const std::string &peer, SettingsDelta delta, Peers peers, Core::TimePoint now);
 
-    /// \brief Takes the rows that answer \a scan, which was sent at \a sentAt.
+    /// \brief Merges the \a rows that answer \a scan, which was sent at \a sentAt.
     Actions receiveTablePage(const ScanTable &scan, std::vector<SettingsRow> rows, Core::TimePoint sentAt, Peers peers, Core::TimePoint now);
+
+    /// \brief Handles that a scan of the table failed.
     void receiveTableFailure(Core::TimePoint now);
 
+    /// \brief Merges the \a snapshot; an empty one, or one older than the settings that peers have begun to send, counts as missing.
     Actions receiveSnapshot(SettingsDelta snapshot, Peers peers, Core::TimePoint now);
+
+    /// \brief Handles that the snapshot could not be read; \a isMissing is set if the object store reported that none exists.
     void receiveSnapshotFailure(bool isMissing, Core::TimePoint now);
 
-    /// \brief Takes the number of processes that poll the table together, as far as it is known.
+    /// \brief Sets the assumed number of processes that poll the table together.
     void setProcessCount(std::size_t count);
 
-    /// \brief When advance() has to be called next.
+    /// \brief Returns when advance() has to be called next.
     Core::TimePoint nextDeadline() const;
 
-    /// \brief True once there are settings to serve with, or the table is known to hold none.
+    /// \brief Returns whether the process has settings, or the table was read and contains none.
     bool isRecovered() const;
 
-    /// \brief Every change accepted before this moment is held, but for the time that messages took; nothing if that was never known.
+    /// \brief Returns the time up to which all accepted changes are held, apart from the transit time of messages.
+    ///
+    /// Nothing if this was never verified.
     std::optional<Core::TimePoint> verifiedAt() const;
 
+    /// \brief Returns the rows that this process holds.
     const SettingsStore &store() const;
 
 private:
     SettingsDigest digest(Core::TimePoint now) const;
-    bool hasFresherProof(const SettingsDigest &theirs, Core::TimePoint now) const;
-    void noteVerified(Core::TimePoint moment);
+    bool hasFresherVerification(const SettingsDigest &theirs, Core::TimePoint now) const;
+    void updateVerifiedAt(Core::TimePoint time);
     Core::TimePoint nextScan() const;
     ScanTable beginScan(Core::TimePoint now);
-    Actions takeMerged(MergeResult result, Peers peers, Core::TimePoint now);
+    Actions handleMergeResult(MergeResult result, Peers peers, Core::TimePoint now);
 
     SettingsReplicaOptions m_options;
     SettingsStore m_store;
-    SpreadPlan m_spread;
+    GossipPlan m_gossip;
     FeedPoller m_poller;
     RecoveryPlan m_recovery;
-    PushBudget m_pushBudget;
+    ByteBudget m_pushBudget;
     std::size_t m_pageRows;
-    std::size_t m_greetedCount = 0;
+    std::size_t m_initialPeerCount = 0;
     bool m_isScanning = false;
     Core::TimePoint m_catchUpDeadline = Core::TimePoint::max();
     std::optional<Core::TimePoint> m_verifiedAt;
--- a/src/libs/decisions/spread/settingsstore.cpp
+++ b/src/libs/decisions/spread/settingsstore.cpp
@@ -8,8 +8,8 @@
 
 namespace {
 
-constexpr std::size_t rowOverheadBytes = 16; ///< Of a row in a message, beside its path and content.
-constexpr std::size_t minimumLogSize = 1024;
+constexpr std::size_t rowOverheadBytes = 16; // Size of a row in a message in addition to its path and content.
+constexpr std::size_t minimumLogSize = 1024; // Number of entries below which the log is not compacted.
 
 std::uint64_t rowHash(const std::string &path, const std::string &content, std::uint64_t revision, bool isDeleted)
 {
@@ -66,7 +66,7 @@
         if (stored.revision != entry->revision) {
             continue;
         }
-        // Rows of one commit have one revision and must not be parted.
+        // Rows of one commit have the same revision and must not be separated.
         const bool isNewCommit = delta.rows.empty() || delta.rows.back().revision != stored.revision;
         if (isNewCommit && bytes > maximumBytes) {
             delta.covered = delta.rows.back().revision;
@@ -83,10 +83,11 @@
     return std::max(m_revision, m_catchUp.cursor);
 }
 
-// Why parts from several holders make one whole state: a part without gap brings each row whose last change, as its holder knows
-// it, lies in its range. A row that is missing after the last part must have changed again beyond the range of its holder, and
-// so at or below the target. As the holder of the last part has at least the target, that change is in its part. Of pages of the
-// table the target is not known, but the table's own last page is read later than they were, so only that one completes them.
+// Deltas from several senders combine to one complete state: a delta that does not begin after the cursor contains each row whose last
+// change, as known to its sender, lies in its range. A row that is missing after the last delta must have changed again after the range of the delta that
+// lacks it, but at or below the revision of that sender and so the target. As the sender of the last delta holds at least the target, that
+// change is in the last delta. For pages of the table the target is not known, but the last page of the table is read after the others, so
+// only the last page completes them.
 MergeResult SettingsStore::merge(SettingsDelta delta)
 {
     if (delta.since > cursor() || !isWellFormed(delta)) {
@@ -100,9 +101,9 @@
     m_catchUp.cursor = std::max(cursor(), delta.covered);
     m_catchUp.hasTablePages = m_catchUp.hasTablePages || delta.isFromTable;
     for (SettingsRow &row : delta.rows) {
-        SettingsRow &kept = m_catchUp.rows[row.path];
-        if (row.revision > kept.revision) {
-            kept = std::move(row);
+        SettingsRow &known = m_catchUp.rows[row.path];
+        if (row.revision > known.revision) {
+            known = std::move(row);
         }
     }
     if (!isWhole) {
--- a/src/libs/decisions/spread/settingsstore.h
+++ b/src/libs/decisions/spread/settingsstore.h
@@ -6,53 +6,56 @@
 
 namespace Verbena::Decisions {
 
-/// \brief What became of a delta.
+/// \brief Outcome of merging a delta.
 enum class MergeOutcome {
-    Stale, ///< It held nothing new.
-    Gap, ///< It begins after what is held, so that something would be missing in between, or contradicts itself.
-    Continued, ///< It was kept, and more is needed before the state is whole.
-    Advanced, ///< The store moved on to a later revision of the whole tree.
+    Stale, ///< The delta contained nothing new.
+    Gap, ///< The delta begins after the cursor, so that changes in between would be missing, or it is inconsistent.
+    Continued, ///< The delta was kept; more deltas are needed before the later state is complete.
+    Advanced, ///< The store advanced to a later revision of the whole tree.
 };
 
-/// \brief The result of a merge.
+/// \brief Result of a merge.
 struct MergeResult
 {
     MergeOutcome outcome = MergeOutcome::Stale;
-    std::vector<SettingsRow> changed; ///< After Advanced: every row that differs from before.
+    std::vector<SettingsRow> changed; ///< Every row that changed, if the outcome is Advanced.
 };
 
-/// \brief The rows of the settings tree that one process holds.
+/// \brief Rows of the settings tree that one process holds.
 ///
-/// Guarantee: the rows are at all times exactly those of the table at revision(), a moment of its history, and revision() only
-/// ever goes up. Parts of a later state wait apart until they are whole.
+/// Guarantee: the rows are always exactly those of the table at revision(), and revision() never decreases. Deltas of a later state are kept
+/// separately until that state is complete.
 class SettingsStore
 {
 public:
+    /// \brief Returns the revision of the table that the rows represent.
     std::uint64_t revision() const;
 
-    /// \brief A hash over all rows, equal in all processes that hold the same.
+    /// \brief Returns a hash of all rows, which is equal in all processes that hold the same rows.
     std::uint64_t hash() const;
 
+    /// \brief Returns the number of rows, including tombstones.
     std::size_t rowCount() const;
 
-    /// \brief The row at \a path, tombstones included.
+    /// \brief Returns the row at \a path, which may be a tombstone, or nothing if there is none.
     std::optional<SettingsRow> row(const std::string &path) const;
 
-    /// \brief All rows, tombstones included, as one delta since 0.
+    /// \brief Returns all rows, including tombstones, as one delta since revision 0.
     SettingsDelta everything() const;
 
-    /// \brief What changed after \a since, whole commits, about \a maximumBytes at most but at least one commit.
+    /// \brief Returns the changes after \a since as whole commits: at least one, and otherwise up to about \a maximumBytes.
     SettingsDelta deltaSince(std::uint64_t since, std::size_t maximumBytes) const;
 
-    /// \brief Where the next delta has to begin.
+    /// \brief Returns the revision after which the next delta has to begin.
     std::uint64_t cursor() const;
 
+    /// \brief Merges \a delta, and advances to its revision if that completes a later state.
     MergeResult merge(SettingsDelta delta);
 
-    /// \brief Gives up a state that was not made whole in time, for instance as its only holder is gone.
+    /// \brief Discards a later state that was not completed in time, for instance because its only holder is gone.
     void abandonCatchUp();
 
-    /// \brief True while parts of a later state wait.
+    /// \brief Returns whether deltas of an incomplete later state are kept.
     bool isCatchingUp() const;
 
 private:
@@ -73,7 +76,7 @@
     struct CatchUp
     {
         std::uint64_t cursor = 0;
-        std::uint64_t target = 0; ///< The highest revision that any of its parts came from, as far as it is known.
+        std::uint64_t target = 0; ///< Highest known revision of the senders of its deltas.
         bool hasTablePages = false;
         std::map<std::string, SettingsRow> rows;
     };
@@ -84,7 +87,7 @@
     void compactLog();
 
     RowMap m_rows;
-    std::vector<LogEntry> m_log; ///< By rising revision; entries of rows that changed again are passed over.
+    std::vector<LogEntry> m_log; ///< Changes in ascending order of their revisions; entries of rows that changed again are skipped.
     std::uint64_t m_revision = 0;
     std::uint64_t m_hash = 0;
     CatchUp m_catchUp;
--- a/src/libs/decisions/spread/snapshotplan.cpp
+++ b/src/libs/decisions/spread/snapshotplan.cpp
@@ -7,8 +7,8 @@
 SnapshotPlan::SnapshotPlan(const SnapshotPlanOptions &options, std::uint64_t seed, Core::TimePoint now)
     : m_options(options)
     , m_random(seed)
-    , m_draw(m_random.exponential())
-    , m_since(now)
+    , m_randomFactor(m_random.exponential())
+    , m_lastAttemptAt(now)
 {
 }
 
@@ -17,49 +17,49 @@
     m_processCount = std::max<std::size_t>(count, 1);
 }
 
-bool SnapshotPlan::beginTurn(std::uint64_t revision, Core::TimePoint now)
+bool SnapshotPlan::beginAttempt(std::uint64_t revision, Core::TimePoint now)
 {
-    if (m_isInTurn || now < nextDeadline()) {
+    if (m_isAttempting || now < nextDeadline()) {
         return false;
     }
-    m_since = now;
-    m_draw = m_random.exponential();
+    m_lastAttemptAt = now;
+    m_randomFactor = m_random.exponential();
     if (revision <= m_savedRevision) {
         return false;
     }
-    m_isInTurn = true;
-    m_turnDeadline = now + m_options.patience;
+    m_isAttempting = true;
+    m_attemptDeadline = now + m_options.attemptTimeout;
     return true;
 }
 
-void SnapshotPlan::endTurn(std::uint64_t savedRevision, Core::TimePoint now)
+void SnapshotPlan::endAttempt(std::uint64_t savedRevision, Core::TimePoint now)
 {
-    m_isInTurn = false;
-    m_since = now;
+    m_isAttempting = false;
+    m_lastAttemptAt = now;
     m_savedRevision = std::max(m_savedRevision, savedRevision);
 }
 
-bool SnapshotPlan::expireTurn(Core::TimePoint now)
+bool SnapshotPlan::expireAttempt(Core::TimePoint now)
 {
-    if (!m_isInTurn || now < m_turnDeadline) {
+    if (!m_isAttempting || now < m_attemptDeadline) {
         return false;
     }
-    endTurn(0, now);
+    endAttempt(0, now);
     return true;
 }
 
-bool SnapshotPlan::isInTurn() const
+bool SnapshotPlan::isAttempting() const
 {
-    return m_isInTurn;
+    return m_isAttempting;
 }
 
 Core::TimePoint SnapshotPlan::nextDeadline() const
 {
-    if (m_isInTurn) {
-        return m_turnDeadline;
+    if (m_isAttempting) {
+        return m_attemptDeadline;
     }
     const std::chrono::duration<double> mean = m_options.interval * static_cast<double>(m_processCount);
-    return m_since + std::chrono::duration_cast<Core::Clock::duration>(mean * m_draw);
+    return m_lastAttemptAt + std::chrono::duration_cast<Core::Clock::duration>(mean * m_randomFactor);
 }
 
 } // namespace Verbena::Decisions
--- a/src/libs/decisions/spread/snapshotplan.h
+++ b/src/libs/decisions/spread/snapshotplan.h
@@ -6,47 +6,50 @@
 
 namespace Verbena::Decisions {
 
-/// \brief How often the snapshot of the settings is written.
+/// \brief Options of a SnapshotPlan.
 struct SnapshotPlanOptions
 {
-    std::chrono::milliseconds interval{60'000}; ///< Mean between two snapshots of all processes together.
-    std::chrono::milliseconds patience{15'000}; ///< A process that does not get the lease by then leaves it to others.
+    std::chrono::milliseconds interval{60'000}; ///< Mean interval between two snapshots of all processes together.
+    std::chrono::milliseconds attemptTimeout{15'000}; ///< Time after which a process that did not acquire the lease leaves the snapshot to others.
 };
 
-/// \brief Decides when this process tries to write the snapshot.
+/// \brief Schedule by which one process tries to write the snapshot of the settings.
 ///
-/// Turns come at random, without memory, as those of FeedPoller do: no process is in charge, and the lease that a turn has to take
-/// keeps two from writing at once.
+/// As with FeedPoller, the attempts of each process are a Poisson process, so no process is in charge. Each attempt has to acquire a lease,
+/// which prevents two processes from writing at the same time.
 class SnapshotPlan
 {
 public:
     SnapshotPlan(const SnapshotPlanOptions &options, std::uint64_t seed, Core::TimePoint now);
 
-    /// \brief Takes the number of processes that share the turns, as far as it is known.
+    /// \brief Sets the assumed number of processes that share the work.
     void setProcessCount(std::size_t count);
 
-    /// \brief Begins a turn that is due at \a now, if there is something newer to save than this process saved before.
-    bool beginTurn(std::uint64_t revision, Core::TimePoint now);
+    /// \brief Begins an attempt if one is due at \a now and \a revision is newer than what this process saved last.
+    ///
+    /// Returns whether an attempt began.
+    bool beginAttempt(std::uint64_t revision, Core::TimePoint now);
 
-    /// \brief Ends the turn; \a savedRevision is 0 if nothing was saved.
-    void endTurn(std::uint64_t savedRevision, Core::TimePoint now);
+    /// \brief Ends the attempt; \a savedRevision is 0 if nothing was saved.
+    void endAttempt(std::uint64_t savedRevision, Core::TimePoint now);
 
-    /// \brief Ends a turn whose patience is used up; false if there is none.
-    bool expireTurn(Core::TimePoint now);
+    /// \brief Ends an attempt that timed out at \a now; returns false if there is none.
+    bool expireAttempt(Core::TimePoint now);
 
-    bool isInTurn() const;
+    /// \brief Returns whether an attempt is in progress.
+    bool isAttempting() const;
 
-    /// \brief When the next turn begins, or the present one has to end.
+    /// \brief Returns when the next attempt begins, or when the current one times out.
     Core::TimePoint nextDeadline() const;
 
 private:
     SnapshotPlanOptions m_options;
     RandomSource m_random;
     std::size_t m_processCount = 1;
-    double m_draw; ///< Exponential with mean 1, to be multiplied with the mean that holds.
-    Core::TimePoint m_since;
-    Core::TimePoint m_turnDeadline;
-    bool m_isInTurn = false;
+    double m_randomFactor; ///< Exponentially distributed with mean 1; multiplied by the current mean interval.
+    Core::TimePoint m_lastAttemptAt; ///< Start or end of the last attempt, whichever is later, or creation of the plan.
+    Core::TimePoint m_attemptDeadline;
+    bool m_isAttempting = false;
     std::uint64_t m_savedRevision = 0;
 };
 
--- a/src/libs/settingstree/settingstask.cpp
+++ b/src/libs/settingstree/settingstask.cpp
@@ -85,7 +85,7 @@
 
 void SettingsTask::notePeerJoined(const std::string &peer)
 {
-    carryOut(m_replica.greetPeer(peer, m_loop.now()));
+    carryOut(m_replica.handlePeerConnected(peer, m_loop.now()));
 }
 
 void SettingsTask::setChangedCallback(std::function<void()> callback)
--- a/src/libs/settingstree/snapshotwriter.cpp
+++ b/src/libs/settingstree/snapshotwriter.cpp
@@ -43,9 +43,9 @@
 void SnapshotWriter::advance()
 {
     const Core::TimePoint now = m_loop.now();
-    if (m_plan.expireTurn(now)) {
+    if (m_plan.expireAttempt(now)) {
         m_lease.setWanted(false);
-    } else if (m_plan.beginTurn(m_revision, now)) {
+    } else if (m_plan.beginAttempt(m_revision, now)) {
         m_lease.setWanted(true);
     }
     restartTimer();
@@ -54,7 +54,7 @@
 void SnapshotWriter::write()
 {
     // The lease is asked right before the action; what a pause after that can do is told in the header.
-    if (m_isWriting || !m_plan.isInTurn() || !m_lease.lease().isHeld(m_loop.now())) {
+    if (m_isWriting || !m_plan.isAttempting() || !m_lease.lease().isHeld(m_loop.now())) {
         return;
     }
     m_isWriting = true;
@@ -78,7 +78,7 @@
     } else {
         Observe::log(settingsSnapshotNotWritten, answer.error());
     }
-    m_plan.endTurn(answer ? revision : 0, m_loop.now());
+    m_plan.endAttempt(answer ? revision : 0, m_loop.now());
     restartTimer();
 }
 
--- a/tests/auto/spread/tst_plans.cpp
+++ b/tests/auto/spread/tst_plans.cpp
@@ -1,5 +1,5 @@
+#include <decisions/spread/bytebudget.h>
 #include <decisions/spread/feedpoller.h>
-#include <decisions/spread/pushbudget.h>
 #include <decisions/spread/recoveryplan.h>
 
 #include <gtest/gtest.h>
@@ -27,20 +27,20 @@
         std::size_t polls = 0;
         for (Core::TimePoint now = start; now < start + 100s; now += 10ms) {
             for (FeedPoller &poller : pollers) {
-                poller.noteHeard(now);
+                poller.recordPeerMessage(now);
                 if (poller.nextPoll() <= now) {
-                    poller.noteStarted(now);
+                    poller.markStarted(now);
                     ++polls;
                 }
             }
         }
-        // Eight a second, a little fewer where the least interval of each process shows.
+        // Eight a second, or slightly fewer where the minimum interval of each process takes effect.
         EXPECT_GT(polls, 600U) << count;
         EXPECT_LT(polls, 1000U) << count;
     }
 }
 
-TEST(FeedPollerTest, processThatHearsNobodyPollsForItself)
+TEST(FeedPollerTest, processWithoutPeersPollsOnItsOwn)
 {
     FeedPoller poller(FeedPollerOptions{}, 7, start);
     poller.setProcessCount(1'000'000);
@@ -48,7 +48,7 @@
     for (Core::TimePoint now = start; now < start + 200s; now += 100ms) {
         if (poller.nextPoll() <= now) {
             EXPECT_GE(now, start + 20s);
-            poller.noteStarted(now);
+            poller.markStarted(now);
             ++polls;
         }
     }
@@ -59,52 +59,52 @@
 TEST(FeedPollerTest, waitsAfterAFailure)
 {
     FeedPoller poller(FeedPollerOptions{}, 7, start);
-    poller.requestBy(start);
-    poller.noteStarted(start);
-    poller.noteFailed(start + 2s);
+    poller.requestPollBy(start);
+    poller.markStarted(start);
+    poller.handleFailure(start + 2s);
     EXPECT_GE(poller.nextPoll(), start + 3s);
 }
 
-TEST(RecoveryPlanTest, spreadsTheReadsOfAHerd)
+TEST(RecoveryPlanTest, spreadsTheReadsOfManyStartingProcesses)
 {
-    std::vector<Core::TimePoint> moments;
+    std::vector<Core::TimePoint> times;
     for (std::uint64_t seed = 0; seed < 3000; ++seed) {
-        moments.push_back(RecoveryPlan(RecoveryPlanOptions{}, seed, start).snapshotMoment().value());
+        times.push_back(RecoveryPlan(RecoveryPlanOptions{}, seed, start).snapshotReadAt().value());
     }
-    std::sort(moments.begin(), moments.end());
-    EXPECT_GE(moments.front(), start + 300ms);
-    EXPECT_LE(moments.back(), start + 2300ms);
-    // No tenth of a second sees more reads than the platform's 2,000 a second allow.
-    for (std::size_t i = 0; i + 200 < moments.size(); ++i) {
-        EXPECT_GT(moments[i + 200] - moments[i], 100ms);
+    std::sort(times.begin(), times.end());
+    EXPECT_GE(times.front(), start + 300ms);
+    EXPECT_LE(times.back(), start + 2300ms);
+    // The platform allows 2,000 reads a second, so there are at most 200 in any tenth of a second.
+    for (std::size_t i = 0; i + 200 < times.size(); ++i) {
+        EXPECT_GT(times[i + 200] - times[i], 100ms);
     }
 }
 
 TEST(RecoveryPlanTest, readsTheTableOnlyWithoutASnapshot)
 {
     RecoveryPlan plan(RecoveryPlanOptions{}, 1, start);
-    EXPECT_FALSE(plan.tableMoment().has_value());
-    plan.noteSnapshotStarted();
-    EXPECT_FALSE(plan.snapshotMoment().has_value());
-    plan.noteSnapshotFailed(false, start + 1s);
-    EXPECT_LE(plan.tableMoment().value(), start + 31s);
-    plan.noteRecovered();
-    EXPECT_FALSE(plan.tableMoment().has_value());
-    EXPECT_FALSE(plan.snapshotMoment().has_value());
+    EXPECT_FALSE(plan.tableReadAt().has_value());
+    plan.markSnapshotStarted();
+    EXPECT_FALSE(plan.snapshotReadAt().has_value());
+    plan.handleSnapshotFailure(false, start + 1s);
+    EXPECT_LE(plan.tableReadAt().value(), start + 31s);
+    plan.markRecovered();
+    EXPECT_FALSE(plan.tableReadAt().has_value());
+    EXPECT_FALSE(plan.snapshotReadAt().has_value());
 }
 
-TEST(PushBudgetTest, bindsToTheRateAfterTheBurst)
+TEST(ByteBudgetTest, limitsToTheRateAfterTheBurst)
 {
-    PushBudget budget(1000, 5000, start);
-    std::size_t served = 0;
+    ByteBudget budget(1000, 5000, start);
+    std::size_t consumed = 0;
     for (Core::TimePoint now = start; now < start + 10s; now += 10ms) {
-        if (budget.isOpen(now)) {
-            budget.spend(500, now);
-            served += 500;
+        if (budget.mayConsume(now)) {
+            budget.consume(500, now);
+            consumed += 500;
         }
     }
-    EXPECT_GE(served, 14'000U);
-    EXPECT_LE(served, 15'500U);
+    EXPECT_GE(consumed, 14'000U);
+    EXPECT_LE(consumed, 15'500U);
 }
 
 } // namespace
--- a/tests/auto/spread/tst_settingsreplica.cpp
+++ b/tests/auto/spread/tst_settingsreplica.cpp
@@ -1,4 +1,4 @@
-#include <support/virtualspread.h>
+#include <support/settingssimulation.h>
 
 #include <gtest/gtest.h>
 #include <rapidcheck.h>
@@ -8,8 +8,8 @@
 namespace {
 
 using namespace std::chrono_literals;
-using Verbena::Test::VirtualSpread;
-using Verbena::Test::VirtualSpreadOptions;
+using Verbena::Test::SettingsSimulation;
+using Verbena::Test::SettingsSimulationOptions;
 
 enum class Fault {
     Commit,
@@ -28,9 +28,9 @@
 
 constexpr std::size_t processes = 6;
 
-VirtualSpreadOptions smallPages(std::uint64_t seed)
+SettingsSimulationOptions smallPages(std::uint64_t seed)
 {
-    VirtualSpreadOptions options;
+    SettingsSimulationOptions options;
     options.processes = processes;
     options.seed = seed;
     options.lossProbability = 0.05;
@@ -41,94 +41,94 @@
     return options;
 }
 
-void commitRandomly(VirtualSpread &spread, int rows)
+void commitRandomly(SettingsSimulation &simulation, int rows)
 {
     std::map<std::string, std::optional<std::string>> writes;
     for (int i = 0; i < rows; ++i) {
         const std::string path = "p" + std::to_string(*rc::gen::inRange(0, 9));
         const bool isDeleted = *rc::gen::inRange(0, 4) == 0;
-        writes[path] = isDeleted ? std::nullopt : std::optional<std::string>("v" + std::to_string(spread.tableRevision()));
+        writes[path] = isDeleted ? std::nullopt : std::optional<std::string>("v" + std::to_string(simulation.tableRevision()));
     }
-    spread.commit(writes);
+    simulation.commit(writes);
 }
 
-void injectRandomly(VirtualSpread &spread)
+void injectRandomly(SettingsSimulation &simulation)
 {
     const auto process = *rc::gen::inRange<std::size_t>(0, processes);
     const auto fault = static_cast<Fault>(*rc::gen::inRange(0, 12));
     switch (fault) {
     case Fault::Commit:
-        commitRandomly(spread, 2);
+        commitRandomly(simulation, 2);
         break;
     case Fault::BigCommit:
-        commitRandomly(spread, 7);
+        commitRandomly(simulation, 7);
         break;
     case Fault::Run:
-        spread.run(std::chrono::milliseconds(*rc::gen::inRange(1, 4000)));
+        simulation.run(std::chrono::milliseconds(*rc::gen::inRange(1, 4000)));
         break;
     case Fault::Crash:
-        spread.crash(process);
+        simulation.crash(process);
         break;
     case Fault::Restart:
-        spread.restart(process);
+        simulation.restart(process);
         break;
     case Fault::Partition:
-        spread.setGroup(process, *rc::gen::inRange<std::size_t>(0, 3));
+        simulation.setGroup(process, *rc::gen::inRange<std::size_t>(0, 3));
         break;
     case Fault::Heal:
         for (std::size_t i = 0; i < processes; ++i) {
-            spread.setGroup(i, 0);
+            simulation.setGroup(i, 0);
         }
         break;
     case Fault::TableDown:
-        spread.setTableDown(true);
+        simulation.setTableDown(true);
         break;
     case Fault::TableUp:
-        spread.setTableDown(false);
-        spread.setTableAnswersLost(false);
+        simulation.setTableDown(false);
+        simulation.setTableAnswersLost(false);
         break;
     case Fault::AnswersLost:
-        spread.setTableAnswersLost(true);
+        simulation.setTableAnswersLost(true);
         break;
     case Fault::SaveSnapshot:
-        spread.saveSnapshot(process);
+        simulation.saveSnapshot(process);
         break;
     case Fault::SnapshotDown:
-        spread.setSnapshotDown(*rc::gen::arbitrary<bool>());
+        simulation.setSnapshotDown(*rc::gen::arbitrary<bool>());
         break;
     }
 }
 
-void mendEverything(VirtualSpread &spread)
+void repairEverything(SettingsSimulation &simulation)
 {
-    spread.setTableDown(false);
-    spread.setTableAnswersLost(false);
-    spread.setSnapshotDown(false);
+    simulation.setTableDown(false);
+    simulation.setTableAnswersLost(false);
+    simulation.setSnapshotDown(false);
     for (std::size_t i = 0; i < processes; ++i) {
-        spread.setGroup(i, 0);
-        if (!spread.isRunning(i)) {
-            spread.restart(i);
+        simulation.setGroup(i, 0);
+        if (!simulation.isRunning(i)) {
+            simulation.restart(i);
         }
     }
 }
 
-TEST(SettingsReplicaTest, neverGoesBackAndConvergesUnderRandomFaults)
+TEST(SettingsReplicaTest, revisionNeverDecreasesAndConvergesUnderRandomFaults)
 {
-    EXPECT_TRUE(rc::check("random interleavings of commits, spread, crashes, restarts, partitions and outages", [] {
-        VirtualSpread spread(smallPages(*rc::gen::arbitrary<std::uint64_t>()));
+    EXPECT_TRUE(rc::check("random interleavings of commits, gossip, crashes, restarts, partitions and outages", [] {
+        SettingsSimulation simulation(smallPages(*rc::gen::arbitrary<std::uint64_t>()));
         const int steps = *rc::gen::inRange(1, 60);
         for (int i = 0; i < steps; ++i) {
-            injectRandomly(spread);
-            RC_ASSERT(spread.violation() == "");
+            injectRandomly(simulation);
+            RC_ASSERT(simulation.violation() == "");
         }
-        mendEverything(spread);
-        spread.run(30s);
-        RC_ASSERT(spread.violation() == "");
-        RC_ASSERT(spread.isConverged());
+        repairEverything(simulation);
+        simulation.run(30s);
+        RC_ASSERT(simulation.violation() == "");
+        RC_ASSERT(simulation.isConverged());
     }));
 }
 
-TEST(SettingsReplicaTest, whatIsAnnouncedDuringAPullIsPulledNext)
+TEST(SettingsReplicaTest, announcementDuringAPullIsPulledNext)
 {
     const Core::TimePoint now(1h);
     SettingsReplica replica(SettingsReplicaOptions{}, 1, now);
@@ -148,99 +148,99 @@
     EXPECT_EQ(replica.store().revision(), 7U);
 }
 
-TEST(SettingsReplicaTest, restartServesAtOnceFromPeersWhileTheStoreIsOut)
+TEST(SettingsReplicaTest, restartedProcessRecoversFromPeersWhileTheStoreIsUnavailable)
 {
-    VirtualSpreadOptions options;
-    VirtualSpread spread(options);
-    spread.commit({{"settings/models/a", "1"}});
-    spread.run(10s);
-    ASSERT_TRUE(spread.isConverged());
-    spread.setTableDown(true);
-    spread.setSnapshotDown(true);
-    spread.run(300s);
-    spread.restart(3);
-    spread.run(100ms);
-    EXPECT_TRUE(spread.replica(3).isRecovered());
-    EXPECT_EQ(spread.replica(3).store().revision(), 1U);
-    EXPECT_EQ(spread.violation(), "");
+    SettingsSimulationOptions options;
+    SettingsSimulation simulation(options);
+    simulation.commit({{"settings/models/a", "1"}});
+    simulation.run(10s);
+    ASSERT_TRUE(simulation.isConverged());
+    simulation.setTableDown(true);
+    simulation.setSnapshotDown(true);
+    simulation.run(300s);
+    simulation.restart(3);
+    simulation.run(100ms);
+    EXPECT_TRUE(simulation.replica(3).isRecovered());
+    EXPECT_EQ(simulation.replica(3).store().revision(), 1U);
+    EXPECT_EQ(simulation.violation(), "");
 }
 
-TEST(SettingsReplicaTest, processWithoutPeersStartsFromTheSnapshot)
+TEST(SettingsReplicaTest, processWithoutPeersRecoversFromTheSnapshot)
 {
-    VirtualSpread spread(VirtualSpreadOptions{});
-    spread.commit({{"settings/models/a", "1"}});
-    spread.run(10s);
-    spread.saveSnapshot(0);
-    spread.setTableDown(true);
+    SettingsSimulation simulation(SettingsSimulationOptions{});
+    simulation.commit({{"settings/models/a", "1"}});
+    simulation.run(10s);
+    simulation.saveSnapshot(0);
+    simulation.setTableDown(true);
     for (std::size_t i = 0; i < 8; ++i) {
-        spread.crash(i);
+        simulation.crash(i);
     }
-    spread.restart(2);
-    spread.run(3s);
-    EXPECT_EQ(spread.replica(2).store().revision(), 1U);
+    simulation.restart(2);
+    simulation.run(3s);
+    EXPECT_EQ(simulation.replica(2).store().revision(), 1U);
 }
 
-TEST(SettingsReplicaTest, partitionedProcessesKeepTheirSettingsAndCatchUpAfterHealing)
+TEST(SettingsReplicaTest, partitionedProcessesKeepTheirSettingsAndCatchUpAfterwards)
 {
-    VirtualSpread spread(VirtualSpreadOptions{});
-    spread.commit({{"settings/organisations/o/teams/t", "1"}});
-    spread.run(10s);
+    SettingsSimulation simulation(SettingsSimulationOptions{});
+    simulation.commit({{"settings/organisations/o/teams/t", "1"}});
+    simulation.run(10s);
     for (std::size_t i = 4; i < 8; ++i) {
-        spread.setGroup(i, 1);
+        simulation.setGroup(i, 1);
     }
-    spread.commit({{"settings/organisations/o/teams/t", std::nullopt}});
-    spread.run(60s);
-    EXPECT_EQ(spread.replica(0).store().revision(), 2U);
-    EXPECT_EQ(spread.replica(5).store().revision(), 1U);
-    EXPECT_GT(spread.now() - spread.replica(5).verifiedAt().value(), 50s);
+    simulation.commit({{"settings/organisations/o/teams/t", std::nullopt}});
+    simulation.run(60s);
+    EXPECT_EQ(simulation.replica(0).store().revision(), 2U);
+    EXPECT_EQ(simulation.replica(5).store().revision(), 1U);
+    EXPECT_GT(simulation.now() - simulation.replica(5).verifiedAt().value(), 50s);
     for (std::size_t i = 4; i < 8; ++i) {
-        spread.setGroup(i, 0);
+        simulation.setGroup(i, 0);
     }
-    spread.run(10s);
-    EXPECT_TRUE(spread.isConverged());
-    EXPECT_LT(spread.now() - spread.replica(5).verifiedAt().value(), 10s);
-    EXPECT_EQ(spread.violation(), "");
+    simulation.run(10s);
+    EXPECT_TRUE(simulation.isConverged());
+    EXPECT_LT(simulation.now() - simulation.replica(5).verifiedAt().value(), 10s);
+    EXPECT_EQ(simulation.violation(), "");
 }
 
 TEST(SettingsReplicaTest, deletedTeamStaysDeletedWhenAPeerWithOldSettingsJoins)
 {
-    VirtualSpread spread(VirtualSpreadOptions{});
+    SettingsSimulation simulation(SettingsSimulationOptions{});
     const std::string team = "settings/organisations/o/teams/t";
-    spread.commit({{team, "1"}});
-    spread.run(10s);
-    spread.saveSnapshot(0);
-    spread.setGroup(7, 1);
-    spread.commit({{team, std::nullopt}});
-    spread.run(10s);
-    // The table is out when the peer comes back and another starts from an old snapshot.
-    spread.setTableDown(true);
-    spread.setGroup(7, 0);
-    spread.restart(6);
-    spread.run(20s);
+    simulation.commit({{team, "1"}});
+    simulation.run(10s);
+    simulation.saveSnapshot(0);
+    simulation.setGroup(7, 1);
+    simulation.commit({{team, std::nullopt}});
+    simulation.run(10s);
+    // The table is unavailable when the peer rejoins and another process starts from an old snapshot.
+    simulation.setTableDown(true);
+    simulation.setGroup(7, 0);
+    simulation.restart(6);
+    simulation.run(20s);
     for (std::size_t i = 0; i < 8; ++i) {
-        EXPECT_TRUE(spread.replica(i).store().row(team)->isDeleted) << i;
+        EXPECT_TRUE(simulation.replica(i).store().row(team)->isDeleted) << i;
     }
-    EXPECT_EQ(spread.violation(), "");
+    EXPECT_EQ(simulation.violation(), "");
 }
 
-TEST(SettingsReplicaTest, herdOfRestartsCostsThePlatformNothingWhilePeersAnswer)
+TEST(SettingsReplicaTest, manyRestartsDoNotLoadThePlatformWhilePeersAnswer)
 {
-    VirtualSpreadOptions options;
+    SettingsSimulationOptions options;
     options.processes = 400;
     options.peersEach = 10;
-    VirtualSpread spread(options);
-    spread.commit({{"settings/models/a", "1"}});
-    spread.run(20s);
-    ASSERT_TRUE(spread.isConverged());
-    const std::uint64_t snapshotReads = spread.snapshotReads;
-    const std::uint64_t tableReads = spread.tableReads;
+    SettingsSimulation simulation(options);
+    simulation.commit({{"settings/models/a", "1"}});
+    simulation.run(20s);
+    ASSERT_TRUE(simulation.isConverged());
+    const std::uint64_t snapshotReads = simulation.snapshotReads;
+    const std::uint64_t tableReads = simulation.tableReads;
     for (std::size_t i = 0; i < 200; ++i) {
-        spread.restart(i);
+        simulation.restart(i);
     }
-    spread.run(1s);
-    EXPECT_TRUE(spread.isConverged());
-    EXPECT_LE(spread.snapshotReads - snapshotReads, 4U);
-    EXPECT_LE(spread.tableReads - tableReads, 40U);
+    simulation.run(1s);
+    EXPECT_TRUE(simulation.isConverged());
+    EXPECT_LE(simulation.snapshotReads - snapshotReads, 4U);
+    EXPECT_LE(simulation.tableReads - tableReads, 40U);
 }
 
 } // namespace
--- a/tests/auto/spread/tst_settingsstore.cpp
+++ b/tests/auto/spread/tst_settingsstore.cpp
@@ -11,7 +11,7 @@
 
 using State = std::map<std::string, SettingsRow>;
 
-// The table and its whole history.
+// Simulates the table with all its past states.
 struct History
 {
     std::vector<State> states{State()};
@@ -31,9 +31,9 @@
     SettingsDelta delta(std::uint64_t since, std::uint64_t revision) const
     {
         SettingsDelta delta{since, revision, revision, {}, false};
-        for (std::uint64_t at = since + 1; at <= revision; ++at) {
+        for (std::uint64_t commit = since + 1; commit <= revision; ++commit) {
             for (const auto &[path, row] : states[revision]) {
-                if (row.revision == at) {
+                if (row.revision == commit) {
                     delta.rows.push_back(row);
                 }
             }
@@ -51,17 +51,17 @@
     return state;
 }
 
-// Keeps the first commits of a delta only.
-SettingsDelta cut(SettingsDelta delta, std::uint64_t covered)
+// Returns the delta without the commits after the revision covered.
+SettingsDelta truncated(SettingsDelta delta, std::uint64_t covered)
 {
     std::erase_if(delta.rows, [covered](const SettingsRow &row) { return row.revision > covered; });
     delta.covered = covered;
     return delta;
 }
 
-TEST(SettingsStoreTest, holdsAlwaysOneMomentOfTheTablesHistory)
+TEST(SettingsStoreTest, alwaysHoldsOnePastStateOfTheTable)
 {
-    EXPECT_TRUE(rc::check("any order of parts from any holders", [] {
+    EXPECT_TRUE(rc::check("any order of deltas from any senders", [] {
         History history;
         const int commits = *rc::gen::inRange(1, 12);
         for (int i = 0; i < commits; ++i) {
@@ -78,7 +78,7 @@
             const auto covered = *rc::gen::inRange<std::uint64_t>(since, holder + 1);
             const bool isWhole = *rc::gen::arbitrary<bool>();
             const SettingsDelta delta = history.delta(since, holder);
-            const MergeResult result = store.merge(isWhole ? delta : cut(delta, covered));
+            const MergeResult result = store.merge(isWhole ? delta : truncated(delta, covered));
             RC_ASSERT(store.revision() >= revision);
             RC_ASSERT((result.outcome == MergeOutcome::Advanced) == (store.revision() > revision));
             RC_ASSERT(stateOf(store) == history.states[store.revision()]);
@@ -94,9 +94,9 @@
     }));
 }
 
-TEST(SettingsStoreTest, deltasAgreeWithNaiveVersionAndPagesNeverPartCommits)
+TEST(SettingsStoreTest, deltasMatchAReferenceAndPagesNeverSeparateCommits)
 {
-    EXPECT_TRUE(rc::check("a store served by another in pages ends the same", [] {
+    EXPECT_TRUE(rc::check("a store that receives all pages of another ends in the same state", [] {
         History history;
         SettingsStore holder;
         const int commits = *rc::gen::inRange(1, 30);
@@ -121,9 +121,10 @@
     }));
 }
 
-TEST(SettingsStoreTest, peerNeverCompletesWhatPagesOfTheTableBegan)
+TEST(SettingsStoreTest, peerDeltaNeverCompletesPagesOfTheTable)
 {
-    // The page was read while "a" stood at 9 already, so it lacks the change of "a" at 2, which the peer at 5 takes for known.
+    // The page was read when "a" was already at revision 9, so it lacks the change of "a" at revision 2. The delta of the peer at revision 5
+    // starts after that change and lacks it, too.
     SettingsStore store;
     EXPECT_EQ(store.merge({0, 3, 4, {{"b", "v", 3, false}}, true}).outcome, MergeOutcome::Continued);
     EXPECT_EQ(store.merge({3, 5, 5, {{"c", "v", 5, false}}, false}).outcome, MergeOutcome::Continued);
@@ -132,14 +133,14 @@
     EXPECT_EQ(store.rowCount(), 3U);
 }
 
-TEST(SettingsStoreTest, refusesWhatContradictsItself)
+TEST(SettingsStoreTest, refusesInconsistentDeltas)
 {
     SettingsStore store;
     EXPECT_EQ(store.merge({5, 9, 9, {}, false}).outcome, MergeOutcome::Gap);
     EXPECT_EQ(store.merge({0, 9, 3, {}, true}).outcome, MergeOutcome::Gap);
     EXPECT_EQ(store.merge({0, 2, 2, {{"p", "v", 3, false}}, false}).outcome, MergeOutcome::Gap);
     EXPECT_EQ(store.revision(), 0U);
-    EXPECT_TRUE(rc::check("damaged deltas never take a revision back", [] {
+    EXPECT_TRUE(rc::check("damaged deltas never decrease the revision", [] {
         SettingsStore damaged;
         std::uint64_t revision = 0;
         for (int i = 0; i < 20; ++i) {
--- a/tests/benchmarks/control/virtualrun.cpp
+++ b/tests/benchmarks/control/virtualrun.cpp
@@ -1,6 +1,6 @@
 #include "virtualrun.h"
 
-#include <support/virtualspread.h>
+#include <support/settingssimulation.h>
 
 #include <string>
 
@@ -19,12 +19,12 @@
 
 SpreadFigures runVirtually(int processes, int changes, std::uint64_t seed)
 {
-    Test::VirtualSpreadOptions options;
+    Test::SettingsSimulationOptions options;
     options.processes = static_cast<std::size_t>(processes);
     options.peersEach = peersEach;
     options.seed = seed;
     options.isHistoryKept = false;
-    Test::VirtualSpread spread(options);
+    Test::SettingsSimulation spread(options);
     spread.commit({{"settings/models/first", "{}"}});
     spread.run(settlingTime);
     const std::uint64_t messages = spread.messages;
--- a/tests/support/virtualspread.cpp
+++ b/tests/support/settingssimulation.cpp
@@ -1,4 +1,4 @@
-#include "virtualspread.h"
+#include "settingssimulation.h"
 
 #include <algorithm>
 
@@ -22,19 +22,19 @@
 
 } // namespace
 
-struct VirtualSpread::Process
+struct SettingsSimulation::Process
 {
     std::unique_ptr<Decisions::SettingsReplica> replica; ///< Null while crashed.
     std::uint64_t incarnation = 0;
     std::size_t group = 0;
-    Core::TimePoint wakeAt = Core::TimePoint::max();
+    Core::TimePoint advanceAt = Core::TimePoint::max();
     std::vector<std::string> peers;
     RowMap inForce;
     std::uint64_t revision = 0;
     std::vector<std::pair<std::uint64_t, Core::TimePoint>> publications;
 };
 
-VirtualSpread::VirtualSpread(const VirtualSpreadOptions &options)
+SettingsSimulation::SettingsSimulation(const SettingsSimulationOptions &options)
     : m_options(options)
     , m_random(options.seed)
 {
@@ -60,9 +60,9 @@
     }
 }
 
-VirtualSpread::~VirtualSpread() = default;
+SettingsSimulation::~SettingsSimulation() = default;
 
-std::uint64_t VirtualSpread::commit(const std::map<std::string, std::optional<std::string>> &writes)
+std::uint64_t SettingsSimulation::commit(const std::map<std::string, std::optional<std::string>> &writes)
 {
     ++m_revision;
     for (const auto &[path, content] : writes) {
@@ -75,19 +75,19 @@
     return m_revision;
 }
 
-void VirtualSpread::run(std::chrono::microseconds span)
+void SettingsSimulation::run(std::chrono::microseconds duration)
 {
-    const Core::TimePoint end = m_now + span;
-    while (!m_events.empty() && m_events.top().moment <= end) {
+    const Core::TimePoint end = m_now + duration;
+    while (!m_events.empty() && m_events.top().time <= end) {
         const Event event = m_events.top();
         m_events.pop();
-        m_now = event.moment;
+        m_now = event.time;
         event.run();
     }
     m_now = end;
 }
 
-void VirtualSpread::crash(std::size_t process)
+void SettingsSimulation::crash(std::size_t process)
 {
     Process &crashed = *m_processes[process];
     crashed.replica.reset();
@@ -96,118 +96,118 @@
     crashed.revision = 0;
 }
 
-void VirtualSpread::restart(std::size_t process)
+void SettingsSimulation::restart(std::size_t process)
 {
     crash(process);
     start(process);
-    // Connections come up again one after the other; who starts asks the first of them.
+    // Connections are established one after the other; a starting process asks the first peers.
     for (const std::string &peer : m_processes[process]->peers) {
-        later(process, drawDelay(), [this, process, peer](Process &started) { perform(process, started.replica->greetPeer(peer, m_now)); });
+        callLater(process, randomDelay(), [this, process, peer](Process &started) { perform(process, started.replica->handlePeerConnected(peer, m_now)); });
     }
 }
 
-void VirtualSpread::setGroup(std::size_t process, std::size_t group)
+void SettingsSimulation::setGroup(std::size_t process, std::size_t group)
 {
     m_processes[process]->group = group;
 }
 
-void VirtualSpread::setTableDown(bool isDown)
+void SettingsSimulation::setTableDown(bool isDown)
 {
     m_isTableDown = isDown;
 }
 
-void VirtualSpread::setSnapshotDown(bool isDown)
+void SettingsSimulation::setSnapshotDown(bool isDown)
 {
     m_isSnapshotDown = isDown;
 }
 
-void VirtualSpread::setTableAnswersLost(bool isLost)
+void SettingsSimulation::setTableAnswersLost(bool isLost)
 {
     m_areTableAnswersLost = isLost;
 }
 
-void VirtualSpread::saveSnapshot(std::size_t process)
+void SettingsSimulation::saveSnapshot(std::size_t process)
 {
     if (isRunning(process)) {
         m_snapshot = replica(process).store().everything();
     }
 }
 
-bool VirtualSpread::isRunning(std::size_t process) const
+bool SettingsSimulation::isRunning(std::size_t process) const
 {
     return m_processes[process]->replica != nullptr;
 }
 
-const Decisions::SettingsReplica &VirtualSpread::replica(std::size_t process) const
+const Decisions::SettingsReplica &SettingsSimulation::replica(std::size_t process) const
 {
     return *m_processes[process]->replica;
 }
 
-std::uint64_t VirtualSpread::tableRevision() const
+std::uint64_t SettingsSimulation::tableRevision() const
 {
     return m_revision;
 }
 
-Core::TimePoint VirtualSpread::now() const
+Core::TimePoint SettingsSimulation::now() const
 {
     return m_now;
 }
 
-const std::string &VirtualSpread::violation() const
+const std::string &SettingsSimulation::violation() const
 {
     return m_violation;
 }
 
-bool VirtualSpread::isConverged() const
+bool SettingsSimulation::isConverged() const
 {
     return std::all_of(m_processes.begin(), m_processes.end(), [this](const auto &process) {
         return process->replica == nullptr || (process->revision == m_revision && (!m_options.isHistoryKept || process->inForce == m_table));
     });
 }
 
-std::optional<Core::TimePoint> VirtualSpread::inForceAt(std::size_t process, std::uint64_t revision) const
+std::optional<Core::TimePoint> SettingsSimulation::inForceAt(std::size_t process, std::uint64_t revision) const
 {
-    for (const auto &[published, moment] : m_processes[process]->publications) {
+    for (const auto &[published, time] : m_processes[process]->publications) {
         if (published >= revision) {
-            return moment;
+            return time;
         }
     }
     return std::nullopt;
 }
 
-void VirtualSpread::schedule(std::chrono::microseconds delay, std::function<void()> run)
+void SettingsSimulation::schedule(std::chrono::microseconds delay, std::function<void()> run)
 {
     m_events.push({m_now + delay, ++m_order, std::move(run)});
 }
 
-void VirtualSpread::start(std::size_t index)
+void SettingsSimulation::start(std::size_t index)
 {
     Process &process = *m_processes[index];
     process.replica = std::make_unique<Decisions::SettingsReplica>(m_options.replica, m_random.next(), m_now);
     process.replica->setProcessCount(m_options.processes);
-    process.wakeAt = Core::TimePoint::max();
-    wakeLater(index);
+    process.advanceAt = Core::TimePoint::max();
+    scheduleAdvance(index);
 }
 
-void VirtualSpread::wakeLater(std::size_t index)
+void SettingsSimulation::scheduleAdvance(std::size_t index)
 {
     Process &process = *m_processes[index];
     const Core::TimePoint due = std::max(process.replica->nextDeadline(), m_now);
-    if (due >= process.wakeAt) {
+    if (due >= process.advanceAt) {
         return;
     }
-    process.wakeAt = due;
+    process.advanceAt = due;
     const auto delay = std::chrono::ceil<std::chrono::microseconds>(due - m_now);
-    later(index, delay, [this, index, due](Process &woken) {
-        if (woken.wakeAt != due) {
+    callLater(index, delay, [this, index, due](Process &advanced) {
+        if (advanced.advanceAt != due) {
             return;
         }
-        woken.wakeAt = Core::TimePoint::max();
-        perform(index, woken.replica->advance(woken.peers, m_now));
+        advanced.advanceAt = Core::TimePoint::max();
+        perform(index, advanced.replica->advance(advanced.peers, m_now));
     });
 }
 
-void VirtualSpread::later(std::size_t index, std::chrono::microseconds delay, std::function<void(Process &)> run)
+void SettingsSimulation::callLater(std::size_t index, std::chrono::microseconds delay, std::function<void(Process &)> run)
 {
     schedule(delay, [this, index, incarnation = m_processes[index]->incarnation, run = std::move(run)] {
         Process &process = *m_processes[index];
@@ -217,72 +217,72 @@
     });
 }
 
-void VirtualSpread::perform(std::size_t index, Decisions::SettingsReplica::Actions actions)
+void SettingsSimulation::perform(std::size_t index, Decisions::SettingsReplica::Actions actions)
 {
     for (Decisions::ReplicaAction &action : actions) {
         std::visit([this, index](auto &typed) { perform(index, typed); }, action);
     }
-    wakeLater(index);
+    scheduleAdvance(index);
 }
 
-void VirtualSpread::perform(std::size_t index, Decisions::SendDigest &action)
+void SettingsSimulation::perform(std::size_t index, Decisions::SendDigest &action)
 {
     deliver(index, action.peer, digestBytes, [this, index, digest = action.digest](std::size_t to) {
         perform(to, m_processes[to]->replica->receiveDigest(std::to_string(index), digest, m_now));
     });
 }
 
-void VirtualSpread::perform(std::size_t index, Decisions::SendPull &action)
+void SettingsSimulation::perform(std::size_t index, Decisions::SendPull &action)
 {
     deliver(index, action.peer, pullBytes, [this, index, since = action.since](std::size_t to) {
         perform(to, m_processes[to]->replica->receivePull(std::to_string(index), since, m_now));
     });
 }
 
-void VirtualSpread::perform(std::size_t index, Decisions::SendPush &action)
+void SettingsSimulation::perform(std::size_t index, Decisions::SendPush &action)
 {
     deliver(index, action.peer, sizeOf(action.delta), [this, index, delta = action.delta](std::size_t to) {
         perform(to, m_processes[to]->replica->receivePush(std::to_string(index), delta, m_processes[to]->peers, m_now));
     });
 }
 
-void VirtualSpread::perform(std::size_t index, Decisions::ScanTable &action)
+void SettingsSimulation::perform(std::size_t index, Decisions::ScanTable &action)
 {
     ++tableReads;
     const Core::TimePoint sentAt = m_now;
     if (m_isTableDown || m_areTableAnswersLost || m_processes[index]->group != 0) {
-        later(index, platformTimeout, [this, index](Process &process) {
+        callLater(index, platformTimeout, [this, index](Process &process) {
             process.replica->receiveTableFailure(m_now);
-            wakeLater(index);
+            scheduleAdvance(index);
         });
         return;
     }
-    later(index, platformDelay, [this, index, action, sentAt, rows = scan(action)](Process &process) {
+    callLater(index, platformDelay, [this, index, action, sentAt, rows = scan(action)](Process &process) {
         perform(index, process.replica->receiveTablePage(action, rows, sentAt, process.peers, m_now));
     });
 }
 
-void VirtualSpread::perform(std::size_t index, Decisions::ReadSnapshot &)
+void SettingsSimulation::perform(std::size_t index, Decisions::ReadSnapshot &)
 {
     ++snapshotReads;
     const bool isReachable = !m_isSnapshotDown && m_processes[index]->group == 0;
     if (isReachable && m_snapshot.has_value()) {
-        later(index, platformDelay, [this, index, snapshot = *m_snapshot](Process &process) {
+        callLater(index, platformDelay, [this, index, snapshot = *m_snapshot](Process &process) {
             perform(index, process.replica->receiveSnapshot(snapshot, process.peers, m_now));
         });
         return;
     }
-    later(index, isReachable ? platformDelay : platformTimeout, [this, index, isReachable](Process &process) {
+    callLater(index, isReachable ? platformDelay : platformTimeout, [this, index, isReachable](Process &process) {
         process.replica->receiveSnapshotFailure(isReachable, m_now);
-        wakeLater(index);
+        scheduleAdvance(index);
     });
 }
 
-void VirtualSpread::perform(std::size_t index, Decisions::PublishSettings &action)
+void SettingsSimulation::perform(std::size_t index, Decisions::PublishSettings &action)
 {
     Process &process = *m_processes[index];
     if (action.revision <= process.revision) {
-        m_violation = "The revision in force went from " + std::to_string(process.revision) + " to " + std::to_string(action.revision) + ".";
+        m_violation = "The revision in force changed from " + std::to_string(process.revision) + " to " + std::to_string(action.revision) + ".";
     }
     process.revision = action.revision;
     process.publications.emplace_back(action.revision, m_now);
@@ -293,16 +293,16 @@
         process.inForce[row.path] = row;
     }
     if (process.inForce != m_history[action.revision]) {
-        m_violation = "What is in force at revision " + std::to_string(action.revision) + " is not what the table held then.";
+        m_violation = "The settings in force at revision " + std::to_string(action.revision) + " differ from the state of the table at that revision.";
     }
 }
 
-void VirtualSpread::perform(std::size_t, Decisions::ReportDivergence &action)
+void SettingsSimulation::perform(std::size_t, Decisions::ReportDivergence &action)
 {
     m_violation = "Two processes hold different settings at revision " + std::to_string(action.revision) + ".";
 }
 
-void VirtualSpread::deliver(std::size_t from, const std::string &to, std::size_t bytes, std::function<void(std::size_t)> receive)
+void SettingsSimulation::deliver(std::size_t from, const std::string &to, std::size_t bytes, std::function<void(std::size_t)> receive)
 {
     ++messages;
     messageBytes += bytes;
@@ -310,16 +310,16 @@
     if (m_random.uniform() < m_options.lossProbability || m_processes[from]->group != m_processes[index]->group) {
         return;
     }
-    later(index, drawDelay(), [index, receive = std::move(receive)](Process &) { receive(index); });
+    callLater(index, randomDelay(), [index, receive = std::move(receive)](Process &) { receive(index); });
 }
 
-std::chrono::microseconds VirtualSpread::drawDelay()
+std::chrono::microseconds SettingsSimulation::randomDelay()
 {
-    const auto width = static_cast<std::uint64_t>((m_options.maximumDelay - m_options.minimumDelay).count()) + 1;
-    return m_options.minimumDelay + std::chrono::microseconds(m_random.next() % width);
+    const auto range = static_cast<std::uint64_t>((m_options.maximumDelay - m_options.minimumDelay).count()) + 1;
+    return m_options.minimumDelay + std::chrono::microseconds(m_random.next() % range);
 }
 
-std::vector<Decisions::SettingsRow> VirtualSpread::scan(const Decisions::ScanTable &action) const
+std::vector<Decisions::SettingsRow> SettingsSimulation::scan(const Decisions::ScanTable &action) const
 {
     std::vector<Decisions::SettingsRow> rows;
     for (auto commit = m_commits.upper_bound(action.since); commit != m_commits.end(); ++commit) {
--- a/tests/support/virtualspread.h
+++ b/tests/support/settingssimulation.h
@@ -10,44 +10,47 @@
 
 namespace Verbena::Test {
 
-/// \brief How the processes of a VirtualSpread are tied together.
-struct VirtualSpreadOptions
+/// \brief Options of a SettingsSimulation.
+struct SettingsSimulationOptions
 {
     std::size_t processes = 8;
-    std::size_t peersEach = 0; ///< Neighbours that each process draws, known both ways; 0: all know all.
+    std::size_t peersEach = 0; ///< Number of random neighbours of each process, connected in both directions; 0 connects all processes.
     Decisions::SettingsReplicaOptions replica;
-    std::chrono::microseconds minimumDelay{500}; ///< Of a message, one way.
+    std::chrono::microseconds minimumDelay{500}; ///< Minimum one-way delay of a message.
     std::chrono::microseconds maximumDelay{3'000};
-    double lossProbability = 0; ///< Of a message.
+    double lossProbability = 0; ///< Probability that a message is lost.
     std::uint64_t seed = 1;
-    bool isHistoryKept = true; ///< Needed for checks; costs memory by the size of the tree times the number of commits.
+    bool isHistoryKept = true; ///< Whether all states of the table are kept for checks; the memory is the size of the tree times the number of commits.
 };
 
-/// \brief Many replicas of the settings tree on a table service, in virtual time and with faults.
+/// \brief Simulates many replicas of the settings tree and a table service, in virtual time and with faults.
 ///
-/// Each publication is checked: the revision must rise, and what is in force must be the table's state at that revision.
-class VirtualSpread
+/// Checks each publication: the revision must increase, and the settings in force must be the state of the table at that revision.
+class SettingsSimulation
 {
 public:
-    explicit VirtualSpread(const VirtualSpreadOptions &options);
-    ~VirtualSpread();
+    explicit SettingsSimulation(const SettingsSimulationOptions &options);
+    ~SettingsSimulation();
 
-    /// \brief Writes rows in one commit; nothing as content deletes. Returns the revision.
+    /// \brief Writes rows in one commit and returns its revision; a row without content is deleted.
     std::uint64_t commit(const std::map<std::string, std::optional<std::string>> &writes);
 
-    void run(std::chrono::microseconds span);
+    /// \brief Runs the simulation for \a duration of virtual time.
+    void run(std::chrono::microseconds duration);
+
     void crash(std::size_t process);
     void restart(std::size_t process);
 
-    /// \brief Messages pass only between processes of one group; the table is reached from group 0 only.
+    /// \brief Moves \a process to \a group. Messages pass only within a group, and only group 0 reaches the table and the snapshot.
     void setGroup(std::size_t process, std::size_t group);
+
     void setTableDown(bool isDown);
     void setSnapshotDown(bool isDown);
 
-    /// \brief Lets the table take effect of calls while their answers are lost.
+    /// \brief Sets whether answers of the table are lost after it has executed the calls.
     void setTableAnswersLost(bool isLost);
 
-    /// \brief Writes the snapshot as \a process holds the tree now.
+    /// \brief Writes the tree that \a process currently holds as the snapshot.
     void saveSnapshot(std::size_t process);
 
     bool isRunning(std::size_t process) const;
@@ -55,17 +58,17 @@
     std::uint64_t tableRevision() const;
     Core::TimePoint now() const;
 
-    /// \brief What went wrong first; empty if nothing did.
+    /// \brief Returns the last violated check; empty if there was none.
     const std::string &violation() const;
 
-    /// \brief True if every running process holds what the table does.
+    /// \brief Returns whether every running process holds the state of the table.
     bool isConverged() const;
 
-    /// \brief When \a process put \a revision or a later one in force first; nothing if it has not.
+    /// \brief Returns when \a process first published \a revision or a later one, or nothing if it has not.
     std::optional<Core::TimePoint> inForceAt(std::size_t process, std::uint64_t revision) const;
 
     std::uint64_t messages = 0;
-    std::uint64_t messageBytes = 0; ///< Of contents, without the transport's own.
+    std::uint64_t messageBytes = 0; ///< Size of the contents of messages, without the overhead of the transport.
     std::uint64_t tableReads = 0;
     std::uint64_t snapshotReads = 0;
 
@@ -73,20 +76,20 @@
     struct Process;
     struct Event
     {
-        Core::TimePoint moment;
+        Core::TimePoint time;
         std::uint64_t order;
         std::function<void()> run;
 
         bool operator>(const Event &other) const
         {
-            return moment != other.moment ? moment > other.moment : order > other.order;
+            return time != other.time ? time > other.time : order > other.order;
         }
     };
     using RowMap = std::map<std::string, Decisions::SettingsRow>;
 
     void schedule(std::chrono::microseconds delay, std::function<void()> run);
     void start(std::size_t index);
-    void wakeLater(std::size_t index);
+    void scheduleAdvance(std::size_t index);
     void perform(std::size_t index, Decisions::SettingsReplica::Actions actions);
     void perform(std::size_t index, Decisions::SendDigest &action);
     void perform(std::size_t index, Decisions::SendPull &action);
@@ -96,11 +99,11 @@
     void perform(std::size_t index, Decisions::PublishSettings &action);
     void perform(std::size_t index, Decisions::ReportDivergence &action);
     void deliver(std::size_t from, const std::string &to, std::size_t bytes, std::function<void(std::size_t)> receive);
-    void later(std::size_t index, std::chrono::microseconds delay, std::function<void(Process &)> run);
-    std::chrono::microseconds drawDelay();
+    void callLater(std::size_t index, std::chrono::microseconds delay, std::function<void(Process &)> run);
+    std::chrono::microseconds randomDelay();
     std::vector<Decisions::SettingsRow> scan(const Decisions::ScanTable &action) const;
 
-    VirtualSpreadOptions m_options;
+    SettingsSimulationOptions m_options;
     Decisions::RandomSource m_random;
     Core::TimePoint m_now{std::chrono::hours(1)};
     std::uint64_t m_order = 0;
