--- a/src/libs/decisions/relay/relayfleet.cpp
+++ b/src/libs/decisions/relay/relayfleet.cpp
@@ -170,7 +170,7 @@
     for (const ServedWeights &weights : status.weights) {
         m_register.updateWeights(id, weights.model, weights.version);
     }
-    m_chooser.noteLoad(key, EngineReports::loadReport(status), now);
+    m_chooser.updateLoad(key, EngineReports::loadReport(status), now);
 }
 
 std::vector<OrphanedEngine> RelayFleet::orphanedEngines(Core::TimePoint now)
@@ -242,7 +242,7 @@
         return;
     }
     for (const auto &[id, incarnation] : m_incarnations) {
-        if (m_reports.mayStartLate(id, m_chooser.unanswered(id), *until, now)) {
+        if (m_reports.mayStartLate(id, m_chooser.unansweredWork(id), *until, now)) {
             choice.route.excluded.push_back(id);
         }
     }
@@ -398,7 +398,7 @@
 void RelayFleet::recordSent(FleetChoice &choice, Core::TimePoint now)
 {
     choice.sentAt = now;
-    m_chooser.noteDispatched(choice.id, choice.route, choice.work, now);
+    m_chooser.recordDispatch(choice.id, choice.route, choice.work, now);
     m_reports.recordSent(choice.id);
     m_transfers.caches().recordSent(choice.id, choice.parts, now);
 }
@@ -410,7 +410,7 @@
     }
     m_failures.erase(choice.id);
     m_reports.recordAnswered(choice.id, now);
-    m_chooser.noteReply(choice.id, choice.route, static_cast<std::uint32_t>(choice.parts.size()), choice.work, now);
+    m_chooser.recordReply(choice.id, choice.route, static_cast<std::uint32_t>(choice.parts.size()), choice.work, now);
     if (choice.expectedWait.has_value()) {
         m_estimates[choice.routeName].note(choice.waiting, std::chrono::duration_cast<microseconds>(now - choice.sentAt), now);
     }
@@ -424,13 +424,13 @@
     RouteRefusal refusal;
     refusal.isUnavailable = true;
     refusal.retryAfter = failure == ServerFailure::Full ? fullPause : unreachablePause * (1 << std::min(m_failures[choice.id]++, maxPauseDoublings));
-    m_chooser.noteRefusal(choice.id, choice.route, refusal, choice.work, now);
+    m_chooser.recordRefusal(choice.id, choice.route, refusal, choice.work, now);
 }
 
 void RelayFleet::recordAbandoned(const FleetChoice &choice)
 {
     if (!isOutdated(choice)) {
-        m_chooser.noteNoAnswer(choice.id, choice.work);
+        m_chooser.recordNoAnswer(choice.id, choice.work);
     }
 }
 
