--- a/src/libs/decisions/relay/relayfleet.cpp
+++ b/src/libs/decisions/relay/relayfleet.cpp
@@ -229,8 +229,8 @@
     choice.waiting = queue->waiting;
     choice.reportAge = queue->reportAge;
     const WaitEstimate &waits = estimate == m_estimates.end() ? noEstimate : estimate->second;
-    choice.expectedWait = waits.expected(choice.waiting, now);
-    choice.acceptableWait = waits.bearable(query.latencyTarget);
+    choice.expectedWait = waits.expectedWait(choice.waiting, now);
+    choice.acceptableWait = waits.acceptableWait(query.latencyTarget);
 }
 
 // An engine whose queue is stalled, for instance because its memory is full, may start a request seconds after it arrived, when its weights may no longer be
@@ -412,7 +412,7 @@
     m_reports.recordAnswered(choice.id, now);
     m_chooser.recordReply(choice.id, choice.route, static_cast<std::uint32_t>(choice.parts.size()), choice.work, now);
     if (choice.expectedWait.has_value()) {
-        m_estimates[choice.routeName].note(choice.waiting, std::chrono::duration_cast<microseconds>(now - choice.sentAt), now);
+        m_estimates[choice.routeName].addSample(choice.waiting, std::chrono::duration_cast<microseconds>(now - choice.sentAt), now);
     }
 }
 
--- a/src/libs/decisions/relay/rolloutplan.cpp
+++ b/src/libs/decisions/relay/rolloutplan.cpp
@@ -13,7 +13,7 @@
         }
         // A router that has just started may receive the time of the announcement later.
         for (auto &[id, engine] : engines) {
-            engine.newest.announcedAt = goal.namedAt;
+            engine.newest.announcedAt = goal.announcedAt;
         }
     }
 }
@@ -37,7 +37,7 @@
         if (!engine.firstMissing.has_value() || engine.firstMissing->version <= holder.version) {
             engine.firstMissing = engine.newest.version > holder.version ? std::optional(engine.newest) : std::nullopt;
         }
-        engine.newest = {goal.version, goal.namedAt, slots.at(holder.id)};
+        engine.newest = {goal.version, goal.announcedAt, slots.at(holder.id)};
     }
     // Engines that no longer exist would otherwise stay for ever with their slots for earlier weights.
     std::erase_if(engines, [&goal](const auto &entry) { return entry.second.newest.version != goal.version; });
--- a/tests/auto/relay/tst_fleet.cpp
+++ b/tests/auto/relay/tst_fleet.cpp
@@ -1,5 +1,5 @@
+#include <decisions/relay/activerouters.h>
 #include <decisions/relay/relayfleet.h>
-#include <decisions/relay/routercensus.h>
 #include <decisions/spread/randomsource.h>
 
 #include <gtest/gtest.h>
@@ -314,7 +314,7 @@
             m_fleet.recordSent(*choice, m_now);
         }
     }
-    EXPECT_FALSE(refuseUntil({*choice->expectedWait, 400ms, 5s}).has_value());
+    EXPECT_FALSE(refusalRetryDelay({*choice->expectedWait, 400ms, 5s}).has_value());
 }
 
 // A prefix in high demand remains so under new weights. If its demand were counted anew, it would have a single home until it had been counted again.
@@ -412,37 +412,37 @@
     EXPECT_FALSE(m_fleet.isWaitingToLoad(*choice, m_now + 60s));
 }
 
-TEST(RouterCensusTest, countsRecentlyReportedRouters)
+TEST(ActiveRoutersTest, countsRecentlyReportedRouters)
 {
-    RouterCensus census(8);
+    ActiveRouters census(8);
     EXPECT_EQ(census.count(start), 8U);
     for (const char *address : {"10.0.0.1", "10.0.0.2", "10.0.0.3", "10.0.0.1"}) {
-        census.note(address, start);
+        census.record(address, start);
     }
     EXPECT_EQ(census.count(start), 3U);
-    census.note("10.0.0.2", start + 15s);
+    census.record("10.0.0.2", start + 15s);
     // Requests that the other router sent may still count in a window.
     EXPECT_EQ(census.count(start + 15s), 3U);
     EXPECT_EQ(census.count(start + 30s), 1U);
 }
 
 // All routers have to elect the same few, in whatever order they learned of each other.
-TEST(RouterCensusTest, electsTheSameRoutersEverywhere)
+TEST(ActiveRoutersTest, electsTheSameRoutersEverywhere)
 {
-    RouterCensus one(8);
-    RouterCensus other(8);
+    ActiveRouters one(8);
+    ActiveRouters other(8);
     for (int router = 0; router < 40; ++router) {
-        one.note("10.0.0." + std::to_string(router), start);
-        other.note("10.0.0." + std::to_string(39 - router), start + 1s);
+        one.record("10.0.0." + std::to_string(router), start);
+        other.record("10.0.0." + std::to_string(39 - router), start + 1s);
     }
     EXPECT_EQ(one.elected(8).size(), 8U);
     EXPECT_EQ(one.elected(8), other.elected(8));
     // A router that disappears is replaced, and the others remain elected.
-    RouterCensus fewer(8);
+    ActiveRouters fewer(8);
     for (int router = 0; router < 40; ++router) {
         const std::string address = "10.0.0." + std::to_string(router);
         if (address != one.elected(8).front()) {
-            fewer.note(address, start);
+            fewer.record(address, start);
         }
     }
     const std::vector<std::string> now = fewer.elected(8);
