--- a/src/apps/agent/main.cpp
+++ b/src/apps/agent/main.cpp
@@ -26,7 +26,7 @@
     }
     const auto settings = Agent::AgentSettings::fromFile(options.settingsPath);
     if (!settings) {
-        return Application::refuseSettings("verbena-agent", settings.error());
+        return Application::reportSettingsError("verbena-agent", settings.error());
     }
     if (options.isCheckOnly) {
         return 0;
@@ -34,20 +34,20 @@
     Observe::configureLog(settings.value().log);
     const auto loop = EventLoop::Loop::create();
     if (!loop) {
-        return Application::refuseStart(loop.error());
+        return Application::reportStartFailure(loop.error());
     }
     EventLoop::Loop &running = *loop.value();
     Observe::Metrics metrics;
     const auto task = Agent::AgentTask::create(running, settings.value(), metrics);
     if (!task) {
-        return Application::refuseStart(task.error());
+        return Application::reportStartFailure(task.error());
     }
     Agent::AgentTask &agent = *task.value();
     std::unique_ptr<Agent::StatusPage> page;
     if (settings.value().status) {
         auto opened = Agent::StatusPage::create(running, *settings.value().status, agent, metrics);
         if (!opened) {
-            return Application::refuseStart(opened.error());
+            return Application::reportStartFailure(opened.error());
         }
         page = std::move(opened.value());
         std::cout << "listening status " << page->address() << std::endl;
@@ -56,7 +56,7 @@
     if (!settings.value().treeFiles.empty()) {
         auto read = SettingsTree::StaticSettingsView::fromFiles(settings.value().treeFiles);
         if (!read) {
-            return Application::refuseStart(read.error());
+            return Application::reportStartFailure(read.error());
         }
         view = std::move(read.value());
         agent.setSettingsView(view);
@@ -65,7 +65,7 @@
     if (!settings.value().platformUrl.empty()) {
         auto started = Agent::AgentControl::create(running, settings.value().platformUrl, agent);
         if (!started) {
-            return Application::refuseStart(started.error());
+            return Application::reportStartFailure(started.error());
         }
         control = std::move(started.value());
         if (page) {
--- a/src/apps/router/main.cpp
+++ b/src/apps/router/main.cpp
@@ -24,7 +24,7 @@
     }
     const auto settings = Router::RouterSettings::fromFile(options.settingsPath);
     if (!settings) {
-        return Application::refuseSettings("verbena-router", settings.error());
+        return Application::reportSettingsError("verbena-router", settings.error());
     }
     if (options.isCheckOnly) {
         return 0;
@@ -32,7 +32,7 @@
     Observe::configureLog(settings.value().log);
     const auto loop = EventLoop::Loop::create();
     if (!loop) {
-        return Application::refuseStart(loop.error());
+        return Application::reportStartFailure(loop.error());
     }
     EventLoop::Loop &running = *loop.value();
     std::unique_ptr<Router::RouterControl> control;
@@ -40,20 +40,20 @@
     if (settings.value().platformUrl.empty()) {
         auto view = SettingsTree::StaticSettingsView::fromFiles(settings.value().treeFiles);
         if (!view) {
-            return Application::refuseSettings("verbena-router", view.error());
+            return Application::reportSettingsError("verbena-router", view.error());
         }
         services = {std::move(view.value()), std::make_shared<Router::RefusingClaimService>()};
     } else {
         auto started = Router::RouterControl::create(running, settings.value());
         if (!started) {
-            return Application::refuseStart(started.error());
+            return Application::reportStartFailure(started.error());
         }
         control = std::move(started.value());
         services = control->services();
     }
     const auto task = Router::RouterTask::create(running, settings.value(), services);
     if (!task) {
-        return Application::refuseStart(task.error());
+        return Application::reportStartFailure(task.error());
     }
     if (control) {
         control->attach(*task.value());
--- a/src/apps/standin/main.cpp
+++ b/src/apps/standin/main.cpp
@@ -42,16 +42,16 @@
     Observe::configureLog({.process = "standin-" + options.role});
     const auto loop = EventLoop::Loop::create();
     if (!loop) {
-        return Application::refuseStart(loop.error());
+        return Application::reportStartFailure(loop.error());
     }
     if (options.role == "platform") {
         const auto platform = Standin::PlatformStandin::create(*loop.value(), options.engine.port);
-        return platform ? runUntilSignal(*loop.value(), platform.value()->port()) : Application::refuseStart(platform.error());
+        return platform ? runUntilSignal(*loop.value(), platform.value()->port()) : Application::reportStartFailure(platform.error());
     }
     if (options.role == "service") {
         const auto service = Standin::ServiceStandin::create(*loop.value(), options.service);
-        return service ? runUntilSignal(*loop.value(), service.value()->port()) : Application::refuseStart(service.error());
+        return service ? runUntilSignal(*loop.value(), service.value()->port()) : Application::reportStartFailure(service.error());
     }
     const auto engine = Standin::EngineStandin::create(*loop.value(), options.engine);
-    return engine ? runUntilSignal(*loop.value(), engine.value()->port()) : Application::refuseStart(engine.error());
+    return engine ? runUntilSignal(*loop.value(), engine.value()->port()) : Application::reportStartFailure(engine.error());
 }
--- a/src/libs/agent/agenttask.cpp
+++ b/src/libs/agent/agenttask.cpp
@@ -186,7 +186,7 @@
     }
 }
 
-void AgentTask::receiveGarbage(const std::string &)
+void AgentTask::receiveInvalidMessage(const std::string &)
 {
     m_metrics.count("agent_invalid_messages_total");
     Observe::log(agentMessageInvalid, {{"step", "agent.receive"}});
--- a/src/libs/agent/runmanager.cpp
+++ b/src/libs/agent/runmanager.cpp
@@ -199,7 +199,7 @@
     run->tokens += tokens;
     run->frames.push(text, tokens);
     if (isFirst) {
-        m_metrics.recordSpan("agent_first_token_seconds", {run->dispatch.organisation(), run->dispatch.request_class()}, spanSince(run->receivedAt, now));
+        m_metrics.recordDuration("agent_first_token_seconds", {run->dispatch.organisation(), run->dispatch.request_class()}, spanSince(run->receivedAt, now));
     } else {
         m_gate.recordTokens(ref, tokens, now);
     }
@@ -296,7 +296,7 @@
     }
     run->isStarted = true;
     run->queueWait = action.queueWait;
-    m_metrics.recordSpan("agent_queue_wait_seconds", {run->dispatch.organisation(), run->dispatch.request_class()}, action.queueWait);
+    m_metrics.recordDuration("agent_queue_wait_seconds", {run->dispatch.organisation(), run->dispatch.request_class()}, action.queueWait);
     m_metrics.count("agent_started_total");
     m_backend->startRun(action.ref, run->dispatch, run->deadline);
 }
--- a/src/libs/application/processreport.cpp
+++ b/src/libs/application/processreport.cpp
@@ -8,16 +8,16 @@
 
 namespace Verbena::Application {
 
-int refuseSettings(const std::string &process, const Core::Error &error)
+int reportSettingsError(const std::string &process, const Core::Error &error)
 {
-    // How to log stands in the file that was refused, so the log takes its defaults.
+    // The log options are in the file that is wrong, so the log uses its defaults.
     Observe::configureLog({.process = process});
     Observe::log(settingsRefused, error);
     std::cerr << error.toString() << '\n';
-    return settingsRefusedStatus;
+    return invalidSettingsStatus;
 }
 
-int refuseStart(const Core::Error &error)
+int reportStartFailure(const Core::Error &error)
 {
     Observe::log(startFailed, error);
     std::cerr << error.toString() << '\n';
--- a/src/libs/application/standardoptions.h
+++ b/src/libs/application/standardoptions.h
@@ -4,18 +4,18 @@
 
 namespace Verbena::Application {
 
-/// \brief The options that every server program takes.
+/// \brief The command-line options of every server program.
 struct StandardOptions
 {
-    std::string settingsPath;
-    std::string hostPath; ///< The file in which the platform describes the host; then there are no settings of our own.
-    bool isCheckOnly = false; ///< Check the settings and exit without starting.
-    bool isDescribing = false; ///< Print what the settings file may hold and exit; there is no settings file then.
+    std::string settingsPath; ///< Settings file of this process.
+    std::string hostPath; ///< File in which the platform describes the host; replaces the settings file.
+    bool isCheckOnly = false; ///< True to check the settings and exit without starting.
+    bool isDescribing = false; ///< True to print the keys of the settings file and exit; no settings file is read.
 
-    /// \brief Reads the command line; prints help, version or an error and exits where the user asked for that.
+    /// \brief Parses the command line. Prints the help, the version or an error and exits if applicable.
     static StandardOptions parse(int argc, char **argv, const std::string &description, const std::string &version);
 
-    /// \brief As parse(), for a program that also runs on the users' platform.
+    /// \brief Does the same as parse() and adds the option --host, for programs that also run on the users' platform.
     static StandardOptions parseWithHost(int argc, char **argv, const std::string &description, const std::string &version);
 };
 
--- a/src/libs/core/boottime.h
+++ b/src/libs/core/boottime.h
@@ -4,9 +4,9 @@
 
 namespace Verbena::Core {
 
-/// \brief A clock that never steps and goes on while the host is suspended, unlike Clock.
+/// \brief A clock that never jumps and, unlike Clock, keeps running while the host is suspended.
 ///
-/// For what must not be done after a moment that other hosts count on, however long this one slept.
+/// For actions that must not happen after a time that other hosts rely on, even if this host was suspended meanwhile.
 struct BootClock
 {
     using duration = std::chrono::nanoseconds;
@@ -15,7 +15,7 @@
     static time_point now();
 };
 
-/// \brief A moment of BootClock.
+/// \brief A time point of BootClock.
 using BootTime = BootClock::time_point;
 
 } // namespace Verbena::Core
--- a/src/libs/core/lifetime.h
+++ b/src/libs/core/lifetime.h
@@ -5,9 +5,9 @@
 
 namespace Verbena::Core {
 
-/// \brief Lets answers that come after the end of an object pass it by.
+/// \brief Guard that keeps asynchronous callbacks from running after their object was destroyed.
 ///
-/// To be the last member of the object, so that it ends first.
+/// Must be the last member of the object, so that it is destroyed first.
 class Lifetime
 {
 public:
@@ -21,7 +21,7 @@
     Lifetime(const Lifetime &) = delete;
     Lifetime &operator=(const Lifetime &) = delete;
 
-    /// \brief Calls \a function as long as this lives, and does nothing afterwards.
+    /// \brief Returns a callable that calls \a function while this object exists, and does nothing afterwards.
     template<typename Function>
     auto guard(Function function) const
     {
--- a/src/libs/core/randomseed.h
+++ b/src/libs/core/randomseed.h
@@ -4,7 +4,7 @@
 
 namespace Verbena::Core {
 
-/// \brief A seed that differs in each process and at each start, for the decisions that take one.
+/// \brief Returns a random seed that differs for each process and each start.
 std::uint64_t randomSeed();
 
 } // namespace Verbena::Core
--- a/src/libs/eventloop/deferredcall.cpp
+++ b/src/libs/eventloop/deferredcall.cpp
@@ -12,7 +12,7 @@
 
 DeferredCall::~DeferredCall()
 {
-    m_loop.forget(this);
+    m_loop.remove(this);
 }
 
 void DeferredCall::schedule()
--- a/src/libs/eventloop/deferredcall.h
+++ b/src/libs/eventloop/deferredcall.h
@@ -6,7 +6,7 @@
 
 class Loop;
 
-/// \brief A call that runs once, before the loop blocks next, however often it was scheduled.
+/// \brief A function call that runs once before the loop blocks next, regardless of how often it was scheduled.
 class DeferredCall
 {
 public:
--- a/src/libs/eventloop/iowatcher.h
+++ b/src/libs/eventloop/iowatcher.h
@@ -8,7 +8,7 @@
 
 class Loop;
 
-/// \brief Calls back while a descriptor it does not own is ready; events are EV_READ and EV_WRITE.
+/// \brief Watcher that calls a function while a file descriptor is ready. Events are EV_READ and EV_WRITE. It does not own the descriptor.
 class IoWatcher
 {
 public:
--- a/src/libs/eventloop/loop.cpp
+++ b/src/libs/eventloop/loop.cpp
@@ -8,7 +8,7 @@
 
 namespace {
 
-// Deferred calls may defer further calls. After this many rounds the descriptors get their turn again.
+// Deferred calls may schedule further calls. After this many rounds, the loop polls the file descriptors again.
 constexpr int maximumDeferredRounds = 16;
 
 } // namespace
@@ -68,7 +68,7 @@
     m_deferred.push_back(call);
 }
 
-void Loop::forget(DeferredCall *call)
+void Loop::remove(DeferredCall *call)
 {
     std::erase(m_deferred, call);
     std::replace(m_running.begin(), m_running.end(), call, static_cast<DeferredCall *>(nullptr));
@@ -86,7 +86,7 @@
         }
     }
     m_running.clear();
-    // The idle watcher keeps the loop from blocking while calls are left over.
+    // The idle watcher keeps the loop from blocking while deferred calls are pending.
     if (m_deferred.empty()) {
         ev_idle_stop(m_handle, &m_idle);
     } else {
--- a/src/libs/eventloop/loop.h
+++ b/src/libs/eventloop/loop.h
@@ -12,11 +12,11 @@
 
 class DeferredCall;
 
-/// \brief One libev loop on the epoll back end, with calls deferred to the end of an iteration.
+/// \brief A libev event loop with the epoll back end, which supports calls deferred to the end of an iteration.
 class Loop
 {
 public:
-    /// \brief Makes a loop. Errors: Internal, if the kernel gives no epoll descriptor.
+    /// \brief Creates a loop. Errors: Internal, if the kernel provides no epoll descriptor.
     static Core::Result<std::unique_ptr<Loop>> create();
     ~Loop();
 
@@ -26,16 +26,16 @@
     /// \brief Runs until stop() is called.
     void run();
 
-    /// \brief Waits for something to happen, handles it, and returns; for callers that do one thing at a time.
+    /// \brief Waits for events, handles them and returns, for callers that process one event at a time.
     void runOnce();
 
     /// \brief Makes run() return after the current iteration.
     void stop();
 
-    /// \brief The present moment.
+    /// \brief Returns the current time.
     Core::TimePoint now() const;
 
-    /// \brief The libev loop underneath, for the watchers of this library.
+    /// \brief Returns the underlying libev loop, for the watchers of this library.
     struct ev_loop *handle() const;
 
 private:
@@ -43,7 +43,7 @@
 
     explicit Loop(struct ev_loop *handle);
     void enqueue(DeferredCall *call);
-    void forget(DeferredCall *call);
+    void remove(DeferredCall *call);
     void runDeferred();
 
     struct ev_loop *m_handle;
--- a/src/libs/eventloop/signalwatcher.h
+++ b/src/libs/eventloop/signalwatcher.h
@@ -8,7 +8,7 @@
 
 class Loop;
 
-/// \brief Calls back on the loop each time the process gets a signal.
+/// \brief Watcher that calls a function on the loop each time the process receives a signal.
 class SignalWatcher
 {
 public:
--- a/src/libs/eventloop/timer.cpp
+++ b/src/libs/eventloop/timer.cpp
@@ -20,12 +20,12 @@
     stop();
 }
 
-void Timer::startAt(Core::TimePoint moment)
+void Timer::startAt(Core::TimePoint time)
 {
     stop();
-    // libev counts from the moment the iteration began, which may lie well before this call.
+    // libev timers are relative to the start of the iteration, which may be well before this call.
     ev_now_update(m_loop.handle());
-    const std::chrono::duration<double> left = moment - m_loop.now();
+    const std::chrono::duration<double> left = time - m_loop.now();
     ev_timer_set(&m_watcher, std::max(0., left.count()), 0.);
     ev_timer_start(m_loop.handle(), &m_watcher);
 }
--- a/src/libs/eventloop/timer.h
+++ b/src/libs/eventloop/timer.h
@@ -10,7 +10,7 @@
 
 class Loop;
 
-/// \brief Calls back once at a moment.
+/// \brief A timer that calls a function once at a given time.
 class Timer
 {
 public:
@@ -20,8 +20,8 @@
     Timer(const Timer &) = delete;
     Timer &operator=(const Timer &) = delete;
 
-    /// \brief Sets the moment, in place of an earlier one. A moment in the past means as soon as possible.
-    void startAt(Core::TimePoint moment);
+    /// \brief Starts the timer, replacing an earlier start. If \a time is in the past, it expires as soon as possible.
+    void startAt(Core::TimePoint time);
 
     void stop();
     bool isActive() const;
--- a/src/libs/http/bodycollector.cpp
+++ b/src/libs/http/bodycollector.cpp
@@ -4,7 +4,7 @@
 
 namespace {
 
-// More than any answer of an engine or of the store holds.
+// Larger than any response of an engine or of the store.
 constexpr std::size_t maximumBodyBytes = 4 * 1024 * 1024;
 
 } // namespace
@@ -27,7 +27,7 @@
     if (!status) {
         m_callback(status.error());
     } else if (m_isTooLong) {
-        m_callback(Core::Error{Core::ErrorCode::ResourceExhausted, "http.call", "", "The answer is too long."});
+        m_callback(Core::Error{Core::ErrorCode::ResourceExhausted, "http.call", "", "The response body is too long."});
     } else {
         m_callback(HttpReply{status.value(), std::move(m_body)});
     }
--- a/src/libs/http/bodycollector.h
+++ b/src/libs/http/bodycollector.h
@@ -7,14 +7,14 @@
 
 namespace Verbena::Http {
 
-/// \brief A whole answer to an HTTP call.
+/// \brief A complete response to an HTTP call.
 struct HttpReply
 {
     int status = 0;
     std::string body;
 };
 
-/// \brief Collects the answer to one call and hands it over; one that is longer than a bound is an error (ResourceExhausted).
+/// \brief Collects the response to one call and passes it to a callback. A body of more than 4 MiB is reported as ResourceExhausted.
 class BodyCollector : public HttpReceiver
 {
 public:
--- a/src/libs/http/endpoint.cpp
+++ b/src/libs/http/endpoint.cpp
@@ -10,7 +10,7 @@
 Core::Result<Endpoint> Endpoint::parse(const std::string &text)
 {
     const auto fail = [&text] {
-        return Core::Error{Core::ErrorCode::InvalidArgument, "http.endpoint", text, "This is not an IPv4 number with a port."};
+        return Core::Error{Core::ErrorCode::InvalidArgument, "http.endpoint", text, "This is not an IPv4 address with a port."};
     };
     const std::size_t colon = text.rfind(':');
     if (colon == std::string::npos) {
--- a/src/libs/http/endpoint.h
+++ b/src/libs/http/endpoint.h
@@ -9,15 +9,15 @@
 
 namespace Verbena::Http {
 
-/// \brief An IPv4 number and a port.
+/// \brief An IPv4 address and a port.
 struct Endpoint
 {
     sockaddr_in address{};
 
-    /// \brief Reads "10.1.0.30:8782". Errors: InvalidArgument.
+    /// \brief Parses \a text of the form "10.1.0.30:8782". Errors: InvalidArgument.
     static Core::Result<Endpoint> parse(const std::string &text);
 
-    /// \brief As parse() reads it.
+    /// \brief Returns the endpoint in the form that parse() reads.
     std::string toString() const;
 };
 
--- a/src/libs/http/httpcall.h
+++ b/src/libs/http/httpcall.h
@@ -9,36 +9,36 @@
 
 namespace Verbena::Http {
 
-/// \brief A request that a client sends.
+/// \brief A request to be sent by an HttpClient.
 struct HttpCall
 {
     std::string method = "GET";
     std::string url;
-    std::vector<std::string> fields; ///< Whole header lines, for instance "Content-Type: application/json".
+    std::vector<std::string> fields; ///< Complete header lines, for instance "Content-Type: application/json".
     std::string body;
-    Core::TimePoint deadline; ///< When the whole answer must have come.
+    Core::TimePoint deadline; ///< Time by which the response must be complete.
 
-    /// The call may be sent a second time if a kept connection turns out to be dead. Otherwise it gets a connection of its own,
-    /// since libcurl repeats what it sent on a kept connection that is closed before the first byte of the answer. A call whose
-    /// method is GET or HEAD may always be sent again.
+    /// True if the call may be sent a second time when a reused connection turns out to be closed. Otherwise the call gets a new
+    /// connection, because libcurl resends a request if a reused connection is closed before the first byte of the response.
+    /// Calls with the methods GET and HEAD may always be sent again.
     bool isRepeatable = false;
 };
 
-/// \brief What becomes of a call; the functions are called on the client's loop.
+/// \brief Interface that receives the response to a call. The functions are called on the client's event loop.
 class HttpReceiver
 {
 public:
     virtual ~HttpReceiver() = default;
 
-    /// \brief A header field of the answer has come; \a name is as the peer wrote it.
+    /// \brief Receives a header field of the response; \a name is spelled as the peer sent it.
     virtual void receiveField(std::string_view name, std::string_view value);
 
-    /// \brief A part of the body has come; \a status is the answer's status code.
+    /// \brief Receives a part of the response body; \a status is the status code of the response.
     virtual void receiveData(int status, std::string_view data) = 0;
 
-    /// \brief The call is over: the status code of a whole answer, or what went wrong.
+    /// \brief Receives the end of the call: the status code of a complete response, or the error.
     ///
-    /// The error code is Unavailable only if the request cannot have reached the peer; Unknown after that.
+    /// The error code is Unavailable only if the request cannot have reached the peer, and Unknown otherwise.
     virtual void finish(Core::Result<int> status) = 0;
 };
 
--- a/src/libs/http/httpclient.cpp
+++ b/src/libs/http/httpclient.cpp
@@ -25,7 +25,7 @@
     bool isCancelled = false;
 };
 
-// libcurl calls plain functions; these find the objects again.
+// Callbacks of libcurl, which are plain functions; their context argument is the client or the transfer.
 struct HttpClient::Internals
 {
     static std::size_t onData(char *data, std::size_t size, std::size_t count, void *context)
@@ -105,8 +105,8 @@
 
     static Core::ErrorCode codeOf(CURL *easy)
     {
-        // A request of which no byte was sent cannot have had an effect. That no connection could be made does not prove it: libcurl may
-        // have sent a repeatable call on a kept connection before.
+        // A request of which no byte was sent cannot have had an effect. A failure to connect does not prove that: libcurl may have sent a
+        // repeatable call on a reused connection before.
         long sent = 0;
         curl_easy_getinfo(easy, CURLINFO_REQUEST_SIZE, &sent);
         return sent == 0 ? Core::ErrorCode::Unavailable : Core::ErrorCode::Unknown;
@@ -118,7 +118,7 @@
     static const CURLcode initialised = curl_global_init(CURL_GLOBAL_DEFAULT);
     std::unique_ptr<HttpClient> client(new HttpClient(loop));
     if (initialised != CURLE_OK || client->m_multi == nullptr) {
-        return Core::Error{Core::ErrorCode::Internal, "http.client", "", "libcurl cannot be set up."};
+        return Core::Error{Core::ErrorCode::Internal, "http.client", "", "libcurl cannot be initialised."};
     }
     return client;
 }
@@ -156,13 +156,13 @@
     for (const std::string &field : call.fields) {
         transfer->fields = curl_slist_append(transfer->fields, field.c_str());
     }
-    // Without this libcurl waits for a "100 Continue" before it sends a long body.
+    // Without this empty field, libcurl waits for "100 Continue" before it sends a long body.
     transfer->fields = curl_slist_append(transfer->fields, "Expect:");
     applyOptions(*transfer, call);
     const std::uint64_t id = transfer->id;
     CURL *easy = transfer->easy;
     m_transfers.emplace(id, std::move(transfer));
-    // libcurl refuses new handles from within its callbacks.
+    // libcurl refuses to add handles from within its callbacks, so this one is added by a deferred call.
     if (curl_multi_add_handle(m_multi, easy) == CURLM_RECURSIVE_API_CALL) {
         m_waiting.push_back(id);
         m_add.schedule();
@@ -214,7 +214,7 @@
     if (found == m_transfers.end() || found->second->isCancelled) {
         return;
     }
-    // libcurl forbids the removal of a handle from within its callbacks, so it waits for the end of the iteration.
+    // libcurl forbids removing a handle from within its callbacks, so the handle is removed at the end of the loop iteration.
     found->second->isCancelled = true;
     m_cancelled.push_back(found->first);
     m_remove.schedule();
--- a/src/libs/http/httpclient.h
+++ b/src/libs/http/httpclient.h
@@ -15,27 +15,27 @@
 
 namespace Verbena::Http {
 
-/// \brief Names a running call of one client.
+/// \brief Identifies a running call of one client.
 enum class HttpCallId : std::uint64_t {};
 
-/// \brief An HTTP client by libcurl's multi interface on one event loop.
+/// \brief An HTTP client on one event loop, based on the multi interface of libcurl.
 class HttpClient
 {
 public:
-    /// \brief Makes a client. Errors: Internal, if libcurl cannot be set up.
+    /// \brief Creates a client. Errors: Internal, if libcurl cannot be initialised.
     static Core::Result<std::unique_ptr<HttpClient>> create(EventLoop::Loop &loop);
     ~HttpClient();
 
     HttpClient(const HttpClient &) = delete;
     HttpClient &operator=(const HttpClient &) = delete;
 
-    /// \brief Begins a call. The receiver is held until the call is over or cancelled.
+    /// \brief Starts a call. The client keeps \a receiver alive until the call has ended or is cancelled.
     HttpCallId start(const HttpCall &call, std::shared_ptr<HttpReceiver> receiver);
 
-    /// \brief Ends a call without a word to its receiver; the connection is closed.
+    /// \brief Cancels a call without notifying its receiver, and closes the connection.
     void cancel(HttpCallId id);
 
-    /// \brief Stops reading the answer until resume(), so that the peer has to wait.
+    /// \brief Stops reading the response until resume() is called, which applies back-pressure to the peer.
     void pause(HttpCallId id);
     void resume(HttpCallId id);
 
--- a/src/libs/http/httpexchange.cpp
+++ b/src/libs/http/httpexchange.cpp
@@ -15,7 +15,7 @@
 
 namespace {
 
-// Bytes that were taken are cut off the front of the buffer when this many have gathered.
+// Number of sent bytes at the front of the output buffer at which they are erased.
 constexpr std::size_t compactionBytes = 64 * 1024;
 
 bool hasHungUp(int descriptor)
@@ -191,7 +191,7 @@
             m_output.clear();
             m_outputOffset = 0;
         } else if (m_outputOffset >= compactionBytes) {
-            // A caller that reads steadily but slowly never empties the buffer.
+            // If the caller reads steadily but slowly, the buffer never becomes empty and would grow without bound.
             m_output.erase(0, m_outputOffset);
             m_outputOffset = 0;
         }
@@ -217,7 +217,7 @@
     watchForHangUp();
 }
 
-// libmicrohttpd does not look at the socket of a suspended connection, so a caller that leaves would go unnoticed.
+// libmicrohttpd does not poll the socket of a suspended connection, so it would not detect that the caller disconnects.
 void HttpExchange::watchForHangUp()
 {
     if (m_hangUpWatcher != nullptr) {
@@ -232,7 +232,7 @@
 {
     const MHD_ConnectionInfo *info = MHD_get_connection_info(m_connection, MHD_CONNECTION_INFO_CONNECTION_FD);
     const bool isGone = hasHungUp(info->connect_fd);
-    // Bytes of a next request would make the socket readable for ever, so it is watched no longer in either case.
+    // Unread bytes of a next request keep the socket readable and would trigger the watcher endlessly, so it is stopped in either case.
     m_hangUpWatcher->stop();
     if (!isGone || !isOpen()) {
         return;
@@ -242,7 +242,7 @@
     notifyClosed();
 }
 
-// The callbacks may hold the last reference to whatever owns this exchange, so they are let go here.
+// The callbacks may hold the last reference to the owner of this exchange, so they are released here.
 void HttpExchange::notifyClosed()
 {
     const std::function<void()> closed = std::move(m_closedCallback);
@@ -257,7 +257,7 @@
 {
     const bool wasOpen = isOpen();
     m_server->m_openExchanges.erase(this);
-    // libmicrohttpd closes the socket after this.
+    // libmicrohttpd closes the socket after this function returns.
     m_hangUpWatcher.reset();
     m_connection = nullptr;
     m_isSuspended = false;
--- a/src/libs/http/httpexchange.h
+++ b/src/libs/http/httpexchange.h
@@ -17,14 +17,14 @@
 
 class HttpServer;
 
-/// \brief One header field of a request or an answer.
+/// \brief A header field of a request or a response.
 struct HttpField
 {
     std::string name;
     std::string value;
 };
 
-/// \brief One request and its answer, which may come later and in parts.
+/// \brief A request received by an HttpServer and its response, which may be sent later and in parts.
 class HttpExchange : public std::enable_shared_from_this<HttpExchange>
 {
 public:
@@ -37,40 +37,40 @@
     const std::string &path() const;
     const std::string &body() const;
 
-    /// \brief The value of header field \a name, whose case does not matter.
+    /// \brief Returns the value of the header field \a name (case-insensitive), if present.
     std::optional<std::string> header(const char *name) const;
 
-    /// \brief The value of query argument \a name.
+    /// \brief Returns the value of the query argument \a name, if present.
     std::optional<std::string> queryArgument(const char *name) const;
 
-    /// \brief True while the caller can still be answered.
+    /// \brief Returns whether the response can still be sent or continued.
     bool isOpen() const;
 
-    /// \brief Bytes written to a stream that the caller has not taken yet.
+    /// \brief Returns the number of bytes written to the stream that have not been sent yet.
     std::size_t bufferedBytes() const;
 
-    /// \brief Gives the whole answer. Only the first answer counts.
+    /// \brief Sends a complete response. Has no effect if a response was already started.
     void respond(int status, std::vector<HttpField> fields, std::string body);
 
-    /// \brief Begins an answer whose body is written in parts.
+    /// \brief Starts a response whose body is written in parts.
     void beginStream(int status, std::vector<HttpField> fields);
 
-    /// \brief Adds to the body of a begun stream.
+    /// \brief Appends \a data to the body of a started stream.
     void write(std::string_view data);
 
-    /// \brief Ends a begun stream in good order.
+    /// \brief Completes a started stream.
     void endStream();
 
-    /// \brief Cuts a begun stream, so that the caller sees that it is not whole; without one, closes the connection unanswered.
+    /// \brief Aborts a started stream so that the caller detects the truncation; without a stream, closes the connection without a response.
     void abortStream();
 
-    /// \brief Lets the connection close after this answer, so that the caller's next request goes elsewhere.
+    /// \brief Closes the connection after this response, so that the caller's next request uses a new one.
     void closeAfterAnswer();
 
-    /// \brief Called once when the caller is gone before the answer was whole.
+    /// \brief Sets a function that is called once if the caller disconnects before the response is complete.
     void setClosedCallback(std::function<void()> callback);
 
-    /// \brief Called whenever the caller has taken all that was written.
+    /// \brief Sets a function that is called whenever all written data has been sent.
     void setDrainedCallback(std::function<void()> callback);
 
 private:
@@ -107,13 +107,13 @@
     std::unique_ptr<EventLoop::IoWatcher> m_hangUpWatcher;
 };
 
-/// \brief What a program does with the requests that a server receives.
+/// \brief Interface that handles the requests received by an HttpServer.
 class HttpHandler
 {
 public:
     virtual ~HttpHandler() = default;
 
-    /// \brief Takes a request whose body is whole; it must be answered through \a exchange.
+    /// \brief Handles a request whose body is complete; the response must be sent through \a exchange.
     virtual void handleRequest(const std::shared_ptr<HttpExchange> &exchange) = 0;
 };
 
--- a/src/libs/http/httpserver.cpp
+++ b/src/libs/http/httpserver.cpp
@@ -14,12 +14,12 @@
 
 namespace {
 
-// A body of unknown length is read on and thrown away up to this many times the limit, so that its sender sees the answer.
-constexpr std::size_t toleratedBodies = 4;
+// An oversized body of unknown length is read and discarded up to this multiple of the limit, so that its sender receives the response.
+constexpr std::size_t maximumDiscardFactor = 4;
 
 } // namespace
 
-// libmicrohttpd calls plain functions; these find the objects again.
+// Callbacks of libmicrohttpd, which are plain functions; their context arguments are the server and the exchange.
 struct HttpServer::Callbacks
 {
     using Handle = std::shared_ptr<HttpExchange>;
@@ -49,7 +49,7 @@
         return answerOrWait(*exchange);
     }
 
-    // A body that is announced as too large is answered before it is sent.
+    // Answers a request whose Content-Length is too large before its body is sent.
     static MHD_Result refuseAnnouncedBody(HttpServer &server, HttpExchange &exchange)
     {
         const std::string announced = exchange.header(MHD_HTTP_HEADER_CONTENT_LENGTH).value_or("0");
@@ -64,7 +64,7 @@
         return exchange.queueResponse() == MHD_YES ? MHD_YES : MHD_NO;
     }
 
-    // False if the body goes on far beyond the limit; then the connection is closed.
+    // Returns false if the body exceeds the limit by far; the connection is then closed.
     static bool receive(const HttpServer &server, HttpExchange &exchange, std::string_view data)
     {
         exchange.m_receivedBytes += data.size();
@@ -75,7 +75,7 @@
         if (!exchange.m_isTooLarge) {
             exchange.m_body.append(data);
         }
-        return exchange.m_receivedBytes <= toleratedBodies * server.m_options.maximumBodyBytes;
+        return exchange.m_receivedBytes <= maximumDiscardFactor * server.m_options.maximumBodyBytes;
     }
 
     static void deliver(HttpServer &server, const Handle &exchange)
@@ -128,7 +128,7 @@
     address.sin_family = AF_INET;
     address.sin_port = htons(options.port);
     if (inet_pton(AF_INET, options.address.c_str(), &address.sin_addr) != 1) {
-        return Core::Error{Core::ErrorCode::InvalidArgument, "http.listen", peer, "The address is not an IPv4 number."};
+        return Core::Error{Core::ErrorCode::InvalidArgument, "http.listen", peer, "The address is not an IPv4 address."};
     }
     std::unique_ptr<HttpServer> server(new HttpServer(loop, options, handler));
     unsigned flags = MHD_USE_EPOLL | MHD_ALLOW_SUSPEND_RESUME;
@@ -175,7 +175,7 @@
     }
 }
 
-// libmicrohttpd ends the process if it is stopped while connections are suspended.
+// libmicrohttpd aborts the process if it is stopped while connections are suspended.
 void HttpServer::abortOpenExchanges()
 {
     for (HttpExchange *exchange : m_openExchanges) {
--- a/src/libs/http/httpserver.h
+++ b/src/libs/http/httpserver.h
@@ -16,40 +16,40 @@
 
 namespace Verbena::Http {
 
-/// \brief What a server listens on and what it lets in.
+/// \brief Listening address, limits and TLS certificate of an HttpServer.
 struct HttpServerOptions
 {
-    std::string address = "127.0.0.1"; ///< IP number to listen on.
-    std::uint16_t port = 0; ///< 0 lets the system choose.
-    std::size_t maximumBodyBytes = 8 * 1024 * 1024; ///< A longer request body is answered with 413.
-    std::size_t maximumHeaderBytes = 32 * 1024; ///< Memory for one connection's header fields.
-    unsigned maximumConnections = 4096; ///< Further connections are closed at once.
-    std::chrono::seconds idleTimeout{60}; ///< A connection without traffic is closed after this.
+    std::string address = "127.0.0.1"; ///< IPv4 address to listen on.
+    std::uint16_t port = 0; ///< Port to listen on; 0 lets the system choose.
+    std::size_t maximumBodyBytes = 8 * 1024 * 1024; ///< Maximum length of a request body; longer ones are answered with 413.
+    std::size_t maximumHeaderBytes = 32 * 1024; ///< Memory for the header fields of one connection.
+    unsigned maximumConnections = 4096; ///< Maximum number of connections; further ones are closed at once.
+    std::chrono::seconds idleTimeout{60}; ///< Time without traffic after which a connection is closed.
     std::string certificatePem; ///< TLS certificate chain; empty means plain HTTP.
     std::string privateKeyPem; ///< TLS private key; empty means plain HTTP.
 };
 
-/// \brief An HTTP/1.1 server by libmicrohttpd on one event loop.
+/// \brief An HTTP/1.1 server on one event loop, based on libmicrohttpd.
 class HttpServer
 {
 public:
-    /// \brief Starts to listen. Errors: Unavailable, if the address cannot be had.
+    /// \brief Creates a server and starts listening. Errors: InvalidArgument, if the address is not an IPv4 address; Unavailable, if it cannot be bound.
     static Core::Result<std::unique_ptr<HttpServer>> create(EventLoop::Loop &loop, const HttpServerOptions &options, HttpHandler &handler);
     ~HttpServer();
 
     HttpServer(const HttpServer &) = delete;
     HttpServer &operator=(const HttpServer &) = delete;
 
-    /// \brief The port in use, also when the system chose it.
+    /// \brief Returns the port in use, also if the system chose it.
     std::uint16_t port() const;
 
-    /// \brief The number of requests that have no whole answer yet.
+    /// \brief Returns the number of requests whose response is not complete yet.
     std::size_t openExchangeCount() const;
 
-    /// \brief The number of connections, those that wait for a next request among them.
+    /// \brief Returns the number of connections, including idle ones.
     std::size_t connectionCount() const;
 
-    /// \brief Closes the listening socket; open connections go on.
+    /// \brief Closes the listening socket; open connections stay usable.
     void stopListening();
 
 private:
--- a/src/libs/http/messagereader.cpp
+++ b/src/libs/http/messagereader.cpp
@@ -29,7 +29,7 @@
 
 namespace {
 
-// What the parser lets through although proxies are known to disagree about it.
+// Returns whether the head contains something that the parser accepts, but that proxies are known to interpret differently.
 bool isAmbiguous(const MessageHead &head)
 {
     if (head.fieldCount("Content-Length") > 1 || head.fieldCount("Transfer-Encoding") > 1 || head.fieldCount("Host") > 1) {
@@ -64,7 +64,7 @@
 
 } // namespace
 
-/// One message, whether request or answer.
+/// \brief The parser of one message, independent of whether it is a request or a response.
 class MessageReader::Parser
 {
 public:
@@ -91,7 +91,7 @@
         if (limits.bodyBytes.has_value()) {
             this->body_limit(*limits.bodyBytes);
         } else {
-            // Without a limit this version of the library takes every body that ends with its connection for too long.
+            // Without a limit, this version of Boost.Beast rejects every body that ends with its connection as too long.
             this->body_limit(std::numeric_limits<std::uint64_t>::max());
         }
     }
@@ -226,7 +226,7 @@
     while (!m_parser->isDone() && used < m_buffer.size()) {
         const std::string_view rest = std::string_view(m_buffer).substr(used);
         if (!m_parser->isHeadDone()) {
-            // Folded fields are joined by the parser before anyone sees them.
+            // The parser unfolds folded fields before it reports them, so they are detected here.
             const std::string_view head = rest.substr(0, rest.find("\r\n\r\n"));
             if (head.find("\r\n ") != std::string_view::npos || head.find("\r\n\t") != std::string_view::npos) {
                 return MessageFault::Malformed;
--- a/src/libs/http/messagereader.h
+++ b/src/libs/http/messagereader.h
@@ -13,30 +13,30 @@
 
 namespace Verbena::Http {
 
-/// \brief What stands before the body of a request or an answer.
+/// \brief Start line and header fields of a request or a response.
 struct MessageHead
 {
-    std::string method; ///< Of a request.
-    std::string target; ///< Of a request: path and query as they were written.
-    int status = 0; ///< Of an answer.
-    bool isVersion11 = true; ///< False for HTTP/1.0.
-    bool isKeptAlive = true; ///< Whether the sender means to use the connection again.
+    std::string method; ///< Method; for requests only.
+    std::string target; ///< Path and query, unchanged; for requests only.
+    int status = 0; ///< Status code; for responses only.
+    bool isVersion11 = true; ///< True for HTTP/1.1, false for HTTP/1.0.
+    bool isKeptAlive = true; ///< True if the sender keeps the connection open for further messages.
     bool isChunked = false;
-    bool isEndedByClose = false; ///< An answer without a length: its body lasts as long as the connection.
+    bool isEndedByClose = false; ///< True for a response without a length, whose body ends when the connection is closed.
     std::optional<std::uint64_t> contentLength;
-    std::vector<HttpField> fields; ///< In the order of the message.
+    std::vector<HttpField> fields; ///< Header fields in the order of the message.
 
-    /// \brief The value of the first field called \a name, whose case does not matter, or nothing.
+    /// \brief Returns the value of the first field \a name (case-insensitive), or nullptr if there is none.
     const std::string *field(std::string_view name) const;
 
-    /// \brief How often the field \a name stands in the head.
+    /// \brief Returns how often the field \a name occurs in the head.
     std::size_t fieldCount(std::string_view name) const;
 };
 
-/// \brief Compares two field names; case does not matter.
+/// \brief Returns whether two field names are equal, ignoring case.
 bool isSameFieldName(std::string_view left, std::string_view right);
 
-/// \brief Takes the parts of messages in the order in which they come.
+/// \brief Interface that receives the parts of messages in order.
 class MessageSink
 {
 public:
@@ -46,25 +46,25 @@
     virtual void receiveEnd() = 0;
 };
 
-/// \brief How large the parts of a message may be.
+/// \brief Maximum sizes of the parts of a message.
 struct MessageLimits
 {
-    std::uint32_t headerBytes = 16 * 1024;
-    std::optional<std::uint64_t> bodyBytes; ///< Nothing: no limit.
+    std::uint32_t headerBytes = 16 * 1024; ///< Maximum size of the head.
+    std::optional<std::uint64_t> bodyBytes; ///< Maximum size of the body; no value means no limit.
 };
 
-/// \brief Why a message cannot be read further.
+/// \brief Reason why a message cannot be parsed.
 enum class MessageFault {
-    Malformed, ///< It is no proper HTTP, or its length can be understood in two ways.
+    Malformed, ///< The message is not valid HTTP, or its length is ambiguous.
     HeaderTooLarge,
     BodyTooLarge,
-    Truncated, ///< The connection ended before the message did.
+    Truncated, ///< The connection was closed before the message was complete.
 };
 
-/// \brief Cuts the bytes of one connection into HTTP/1.1 messages, strictly.
+/// \brief A strict parser that splits the bytes of one connection into HTTP/1.1 messages.
 ///
-/// Anything that two implementations could understand differently is a fault: both kinds of length, a length that is given twice, a transfer coding
-/// other than chunked, folded fields, bare line feeds.
+/// Rejects everything that two implementations could interpret differently: both Content-Length and Transfer-Encoding, a repeated length, a transfer
+/// coding other than chunked, folded fields and bare line feeds.
 class MessageReader
 {
 public:
@@ -76,31 +76,31 @@
     MessageReader(const MessageReader &) = delete;
     MessageReader &operator=(const MessageReader &) = delete;
 
-    /// \brief Takes the next bytes and reads on until the message ends; what follows it is kept.
+    /// \brief Parses \a data up to the end of the current message; the bytes after it are buffered.
     std::optional<MessageFault> feed(std::string_view data);
 
-    /// \brief The peer has closed its side.
+    /// \brief Handles that the peer has closed its side of the connection.
     std::optional<MessageFault> feedEnd();
 
-    /// \brief Begins the next message with the bytes that were kept.
+    /// \brief Starts the next message and parses the buffered bytes.
     std::optional<MessageFault> next();
 
-    /// \brief The answer that comes has no body whatever its head says, as after HEAD.
+    /// \brief Declares that the next response has no body regardless of its head, as after a HEAD request.
     void expectNoBody();
 
-    /// \brief Whether any byte of the present message has come.
+    /// \brief Returns whether any byte of the current message was received.
     bool hasBegun() const;
 
-    /// \brief Whether the present message is whole.
+    /// \brief Returns whether the current message is complete.
     bool isDone() const;
 
-    /// \brief Whether the head of the present message is whole.
+    /// \brief Returns whether the head of the current message is complete.
     bool isHeadDone() const;
 
-    /// \brief For logs: what was wrong with the message that could not be read.
+    /// \brief Returns a description of the last parse error, for logs.
     const std::string &faultDetail() const;
 
-    /// \brief Bytes kept that belong to no message yet.
+    /// \brief Returns the number of buffered bytes that were not parsed yet.
     std::size_t surplusBytes() const;
 
 private:
--- a/src/libs/http/sseparser.cpp
+++ b/src/libs/http/sseparser.cpp
@@ -10,14 +10,14 @@
 
 void SseParser::feed(std::string_view bytes, const Visitor &visit)
 {
-    // Most often whole lines come, which need no copy.
+    // Lines that arrive complete, which is the common case, are processed without a copy.
     std::size_t end = bytes.find('\n');
     while (end != std::string_view::npos) {
         if (m_pending.empty()) {
-            takeLine(bytes.substr(0, end), visit);
+            processLine(bytes.substr(0, end), visit);
         } else {
             m_pending += bytes.substr(0, end);
-            takeLine(m_pending, visit);
+            processLine(m_pending, visit);
             m_pending.clear();
         }
         bytes.remove_prefix(end + 1);
@@ -26,7 +26,7 @@
     m_pending += bytes;
 }
 
-void SseParser::takeLine(std::string_view line, const Visitor &visit)
+void SseParser::processLine(std::string_view line, const Visitor &visit)
 {
     if (line.ends_with('\r')) {
         line.remove_suffix(1);
--- a/src/libs/http/sseparser.h
+++ b/src/libs/http/sseparser.h
@@ -6,23 +6,23 @@
 
 namespace Verbena::Http {
 
-/// \brief Cuts a stream of server-sent events into the data of its events.
+/// \brief A parser that extracts the data of each event from a stream of server-sent events.
 class SseParser
 {
 public:
     using Visitor = std::function<void(std::string_view data)>;
 
-    /// \brief Takes the next bytes and calls \a visit with the data of every event they complete, in order.
+    /// \brief Parses the next \a bytes and calls \a visit with the data of each event that they complete, in order.
     void feed(std::string_view bytes, const Visitor &visit);
 
-    /// \brief Bytes kept of an event that is not complete.
+    /// \brief Returns the number of buffered bytes of the incomplete event.
     std::size_t pendingBytes() const;
 
 private:
-    void takeLine(std::string_view line, const Visitor &visit);
+    void processLine(std::string_view line, const Visitor &visit);
 
-    std::string m_pending; ///< Of a line that is not complete.
-    std::string m_data; ///< Of an event that is not complete.
+    std::string m_pending; ///< Incomplete line.
+    std::string m_data; ///< Data of the incomplete event.
     bool m_hasData = false;
 };
 
--- a/src/libs/http/eventcutter.cpp
+++ b/src/libs/http/ssesplitter.cpp
@@ -1,4 +1,4 @@
-#include "eventcutter.h"
+#include "ssesplitter.h"
 
 #include <charconv>
 
@@ -28,23 +28,23 @@
 
 } // namespace
 
-std::string EventCutter::feed(std::string_view bytes)
+std::string SseSplitter::feed(std::string_view bytes)
 {
     m_pending.append(bytes);
-    std::string whole;
+    std::string events;
     std::size_t begin = 0;
     for (std::size_t end = m_pending.find(eventEnd); end != std::string::npos; end = m_pending.find(eventEnd, begin)) {
         const std::string_view event = std::string_view(m_pending).substr(begin, end + eventEnd.size() - begin);
         if (isNew(event)) {
-            whole.append(event);
+            events.append(event);
         }
         begin = end + eventEnd.size();
     }
     m_pending.erase(0, begin);
-    return whole;
+    return events;
 }
 
-bool EventCutter::isNew(std::string_view event)
+bool SseSplitter::isNew(std::string_view event)
 {
     const std::optional<std::uint64_t> id = idOf(event);
     if (!id.has_value()) {
@@ -57,19 +57,19 @@
     return true;
 }
 
-std::string EventCutter::takePending()
+std::string SseSplitter::takePending()
 {
     std::string pending;
     pending.swap(m_pending);
     return pending;
 }
 
-void EventCutter::dropPending()
+void SseSplitter::discardPending()
 {
     m_pending.clear();
 }
 
-std::optional<std::uint64_t> EventCutter::lastId() const
+std::optional<std::uint64_t> SseSplitter::lastId() const
 {
     return m_lastId;
 }
--- /dev/null
+++ b/src/libs/http/ssesplitter.h
@@ -0,0 +1,35 @@
+#pragma once
+
+#include <cstdint>
+#include <optional>
+#include <string>
+#include <string_view>
+
+namespace Verbena::Http {
+
+/// \brief Splits a stream of server-sent events at event boundaries without changing the text of the events.
+class SseSplitter
+{
+public:
+    /// \brief Adds \a bytes to the stream and returns the events that are complete now, unchanged.
+    ///
+    /// Events whose id is not greater than lastId() were already returned and are skipped.
+    std::string feed(std::string_view bytes);
+
+    /// \brief Removes and returns the received part of an incomplete event, for a stream that has ended.
+    std::string takePending();
+
+    /// \brief Discards an incomplete event, for a stream that continues on another connection.
+    void discardPending();
+
+    /// \brief Returns the id of the last returned event that has one.
+    std::optional<std::uint64_t> lastId() const;
+
+private:
+    bool isNew(std::string_view event);
+
+    std::string m_pending;
+    std::optional<std::uint64_t> m_lastId;
+};
+
+} // namespace Verbena::Http
--- a/src/libs/http/tcpchannel.cpp
+++ b/src/libs/http/tcpchannel.cpp
@@ -15,12 +15,12 @@
 
 namespace {
 
-// Holds most answers and prompts in one read; shared by all channels of a thread.
+// Large enough to receive most responses and prompts in one read. The buffer is shared by all channels of a thread.
 constexpr std::size_t readBytes = 64 * 1024;
 
-// A far side that acknowledges nothing for so long is gone: callers and backend servers are a few milliseconds away, and a lost packet is sent again
-// several times within it.
-constexpr unsigned silentMilliseconds = 4000;
+// Time without acknowledgement after which the peer is considered gone. Callers and backend servers are a few milliseconds away, and a lost packet is
+// retransmitted several times within this time.
+constexpr unsigned userTimeoutMilliseconds = 4000;
 constexpr int keepAliveIdleSeconds = 2;
 constexpr int keepAliveIntervalSeconds = 1;
 constexpr int keepAliveProbes = 2;
@@ -28,14 +28,14 @@
 template<typename Value>
 void setOption(int descriptor, int level, int option, const Value &value)
 {
-    // An option that the kernel does not know costs time when a host dies, never correctness.
+    // If the kernel does not support an option, only the detection of a failed host takes longer.
     (void)setsockopt(descriptor, level, option, &value, sizeof value);
 }
 
 void setOptions(int descriptor)
 {
     setOption(descriptor, IPPROTO_TCP, TCP_NODELAY, 1);
-    setOption(descriptor, IPPROTO_TCP, TCP_USER_TIMEOUT, silentMilliseconds);
+    setOption(descriptor, IPPROTO_TCP, TCP_USER_TIMEOUT, userTimeoutMilliseconds);
     setOption(descriptor, SOL_SOCKET, SO_KEEPALIVE, 1);
     setOption(descriptor, IPPROTO_TCP, TCP_KEEPIDLE, keepAliveIdleSeconds);
     setOption(descriptor, IPPROTO_TCP, TCP_KEEPINTVL, keepAliveIntervalSeconds);
@@ -92,7 +92,7 @@
     if (m_isBroken) {
         return;
     }
-    // All that is written in one turn of the loop goes out together.
+    // Everything written in one iteration of the loop is sent together.
     const bool isFirst = bufferedBytes() == 0;
     m_output.append(data);
     if (isFirst) {
@@ -100,7 +100,7 @@
     }
 }
 
-// A failure shows when the loop comes back to the socket.
+// A send error is not handled here: the loop reports it when the socket becomes ready.
 void TcpChannel::flush()
 {
     if (m_isConnected && !m_isBroken && sendBuffered() && bufferedBytes() == 0) {
@@ -174,7 +174,7 @@
     m_isDestroyed = &isDestroyed;
     if ((events & EV_WRITE) != 0) {
         if ((!m_isConnected && !finishConnect()) || !sendBuffered()) {
-            breakDown();
+            handleConnectionFailure();
             if (!isDestroyed) {
                 m_isDestroyed = nullptr;
             }
@@ -239,14 +239,14 @@
         return;
     }
     if (count < 0) {
-        breakDown();
+        handleConnectionFailure();
         return;
     }
     m_isEnded = true;
     m_observer.receiveEnd(ChannelEnd::Closed);
 }
 
-void TcpChannel::breakDown()
+void TcpChannel::handleConnectionFailure()
 {
     m_isBroken = true;
     m_isEnded = true;
--- a/src/libs/http/tcpchannel.h
+++ b/src/libs/http/tcpchannel.h
@@ -17,68 +17,68 @@
 
 namespace Verbena::Http {
 
-/// \brief How the far side of a connection ended it.
+/// \brief How a connection ended.
 enum class ChannelEnd {
-    Closed, ///< In good order.
-    Broken, ///< Reset, silent for too long, or never made.
+    Closed, ///< The peer closed its side regularly.
+    Broken, ///< The connection was reset, timed out or could not be established.
 };
 
-/// \brief What becomes of a connection. Each function may destroy the channel that calls it.
+/// \brief Interface that receives the data and the end of a connection. Its functions may destroy the channel unless noted otherwise.
 class ChannelObserver
 {
 public:
     virtual ~ChannelObserver() = default;
 
-    /// \brief Bytes have come; the view ends with the call.
+    /// \brief Receives \a data, which is valid only during the call.
     virtual void receiveBytes(std::string_view data) = 0;
 
-    /// \brief Nothing will come any more. After Broken nothing can be sent either.
+    /// \brief Receives the end of the incoming data. After Broken, no data can be sent either.
     virtual void receiveEnd(ChannelEnd end) = 0;
 
-    /// \brief The kernel has taken all that was written. This one may not destroy the channel.
+    /// \brief Notifies that the kernel has accepted all written data. Must not destroy the channel.
     virtual void outputDrained()
     {
     }
 };
 
-/// \brief One TCP connection on an event loop.
+/// \brief A TCP connection on an event loop.
 ///
-/// Unlike the library clients of this project it tells apart what a relay has to know: whether any byte of a request can have left, and that the far side
-/// is gone while nothing is being read from it.
+/// Unlike the clients of the libraries in use, it reports what a relay needs to know: whether any byte of a request may have been sent, and whether the peer
+/// has gone while nothing is read from it.
 class TcpChannel
 {
 public:
-    /// \brief Begins to connect to \a endpoint. Errors: NotFound, if it is known at once that nobody listens there; Unavailable, if the kernel refuses.
+    /// \brief Starts to connect to \a endpoint. Errors: NotFound, if the connection is refused at once; Unavailable, if another system call fails.
     static Core::Result<std::unique_ptr<TcpChannel>> connect(EventLoop::Loop &loop, const Endpoint &endpoint, ChannelObserver &observer);
 
-    /// \brief Takes over the accepted socket \a descriptor.
+    /// \brief Creates a channel that takes ownership of the accepted socket \a descriptor.
     static std::unique_ptr<TcpChannel> adopt(EventLoop::Loop &loop, int descriptor, ChannelObserver &observer);
     ~TcpChannel();
 
     TcpChannel(const TcpChannel &) = delete;
     TcpChannel &operator=(const TcpChannel &) = delete;
 
-    /// \brief Sends \a data as soon as the connection takes it, together with what else is written in this turn of the loop.
+    /// \brief Queues \a data to be sent together with everything else that is written in this iteration of the loop.
     void write(std::string_view data);
 
-    /// \brief Bytes written that the kernel has not taken yet.
+    /// \brief Returns the number of written bytes that the kernel has not accepted yet.
     std::size_t bufferedBytes() const;
 
-    /// \brief Whether the kernel has taken any byte.
+    /// \brief Returns whether the kernel has accepted any byte.
     bool hasSent() const;
 
     bool isConnected() const;
 
-    /// \brief Whether the host answered that nobody listens there.
+    /// \brief Returns whether the peer's host refused the connection because nothing listens on the port.
     bool isRefused() const;
 
-    /// \brief Pauses or resumes reading, so that the far side has to wait.
+    /// \brief Pauses or resumes reading, to apply back-pressure to the peer.
     void setReading(bool isReading);
 
-    /// \brief Ends the outgoing direction after what is buffered.
+    /// \brief Closes the sending side after the buffered data has been sent.
     void shutdownOutput();
 
-    /// \brief Makes the end of the channel a reset, so that the far side cannot take what it has for whole.
+    /// \brief Makes the channel reset the connection when it closes, so that the peer cannot mistake truncated data for a complete message.
     void resetOnClose();
 
 private:
@@ -89,7 +89,7 @@
     bool sendBuffered();
     bool finishConnect();
     void readAvailable();
-    void breakDown();
+    void handleConnectionFailure();
 
     EventLoop::Loop &m_loop;
     int m_descriptor;
@@ -101,12 +101,12 @@
     bool m_isConnected;
     bool m_isRefused = false;
     bool m_isReading = true;
-    bool m_isEnded = false; ///< The far side sends nothing more.
+    bool m_isEnded = false; ///< True once the peer sends nothing more.
     bool m_isBroken = false;
     bool m_hasSent = false;
     bool m_isShuttingDown = false;
     int m_watchedEvents = 0;
-    bool *m_isDestroyed = nullptr; ///< Set while a callback runs.
+    bool *m_isDestroyed = nullptr; ///< Points to a flag for the destructor while onReady() runs; otherwise null.
 };
 
 } // namespace Verbena::Http
--- a/src/libs/http/tcplistener.cpp
+++ b/src/libs/http/tcplistener.cpp
@@ -13,11 +13,11 @@
 
 namespace {
 
-// Connections that wait while the loop is busy. A full queue costs the caller a second, so it holds a whole burst.
+// Number of connections that may wait while the loop is busy. It is large enough for a burst, because a full queue delays a caller by a second.
 constexpr int backlog = 1024;
 
-// Accepted in one go, so that a flood of new connections leaves time for those that are open.
-constexpr int acceptsAtOnce = 64;
+// Limits the connections accepted at once, so that a flood of new connections does not delay the open ones.
+constexpr int maximumAcceptsPerWakeUp = 64;
 
 } // namespace
 
@@ -66,7 +66,7 @@
 
 void TcpListener::acceptAll()
 {
-    for (int accepted = 0; accepted < acceptsAtOnce; ++accepted) {
+    for (int accepted = 0; accepted < maximumAcceptsPerWakeUp; ++accepted) {
         const int descriptor = accept4(m_descriptor, nullptr, nullptr, SOCK_NONBLOCK | SOCK_CLOEXEC);
         if (descriptor < 0) {
             return;
--- a/src/libs/http/tcplistener.h
+++ b/src/libs/http/tcplistener.h
@@ -14,21 +14,21 @@
 
 namespace Verbena::Http {
 
-/// \brief Accepts TCP connections on an event loop.
+/// \brief A listening TCP socket on an event loop.
 class TcpListener
 {
 public:
-    /// \brief Called with each accepted socket, which it has to take over.
+    /// \brief Function that is called with each accepted socket and takes ownership of it.
     using Acceptor = std::function<void(int descriptor)>;
 
-    /// \brief Listens on \a endpoint; port 0 lets the system choose. Errors: Unavailable, if the address cannot be had.
+    /// \brief Creates a listener on \a endpoint; port 0 lets the system choose. Errors: Unavailable, if the address cannot be bound.
     static Core::Result<std::unique_ptr<TcpListener>> create(EventLoop::Loop &loop, const Endpoint &endpoint, Acceptor acceptor);
     ~TcpListener();
 
     TcpListener(const TcpListener &) = delete;
     TcpListener &operator=(const TcpListener &) = delete;
 
-    /// \brief The address in use, also when the system chose the port.
+    /// \brief Returns the address in use, including a port chosen by the system.
     Endpoint endpoint() const;
 
 private:
--- a/src/libs/observe/boundedwriter.cpp
+++ b/src/libs/observe/boundedwriter.cpp
@@ -10,7 +10,7 @@
 
 namespace {
 
-// A pipe that is ready takes so much without waiting.
+// Number of bytes that a writable pipe accepts without blocking.
 constexpr std::size_t writeBytes = PIPE_BUF;
 
 } // namespace
@@ -26,13 +26,13 @@
 void BoundedWriter::write(const log4cxx::LogString &text, log4cxx::helpers::Pool &)
 {
     if (!isWithinRate() || m_buffer.size() + text.size() > m_limits.bufferBytes) {
-        ++m_leftOut;
-        ++m_leftOutUnsaid;
+        ++m_droppedLines;
+        ++m_unreportedLines;
         return;
     }
-    if (m_leftOutUnsaid > 0) {
-        m_buffer.append("{\"level\":\"WARN\",\"event\":\"log_lines_left_out\",\"count\":" + std::to_string(m_leftOutUnsaid) + "}\n");
-        m_leftOutUnsaid = 0;
+    if (m_unreportedLines > 0) {
+        m_buffer.append("{\"level\":\"WARN\",\"event\":\"log_lines_left_out\",\"count\":" + std::to_string(m_unreportedLines) + "}\n");
+        m_unreportedLines = 0;
     }
     m_buffer.append(text);
     if (m_buffer.size() >= writeBytes) {
@@ -70,7 +70,7 @@
 
 void BoundedWriter::flush(log4cxx::helpers::Pool &)
 {
-    // The appender asks for this after each line; lines go out together.
+    // The appender calls this after each line. Nothing is written here, so that lines are written together.
 }
 
 void BoundedWriter::close(log4cxx::helpers::Pool &)
@@ -78,9 +78,9 @@
     drain();
 }
 
-std::uint64_t BoundedWriter::leftOut() const
+std::uint64_t BoundedWriter::droppedLines() const
 {
-    return m_leftOut;
+    return m_droppedLines;
 }
 
 } // namespace Verbena::Observe
--- a/src/libs/observe/boundedwriter.h
+++ b/src/libs/observe/boundedwriter.h
@@ -9,15 +9,15 @@
 
 namespace Verbena::Observe {
 
-/// \brief How much a bounded log may write.
+/// \brief Limits of a bounded log.
 struct BoundedLogLimits
 {
-    double linesPerSecond = 400; ///< On average; a router at its share of a core answers about a hundred requests a second.
-    double burstLines = 800; ///< At once.
-    std::size_t bufferBytes = 256 * 1024; ///< Held for a reader that is slow; what comes beyond is left out.
+    double linesPerSecond = 400; ///< Average rate; a router with its share of a core answers about a hundred requests per second.
+    double burstLines = 800; ///< Number of lines that may be written at once.
+    std::size_t bufferBytes = 256 * 1024; ///< Size of the buffer for a slow reader; lines that do not fit are dropped.
 };
 
-/// \brief Writes lines to a descriptor without ever waiting for its reader; what is left out is counted and said.
+/// \brief A log writer that never blocks on the reader of its descriptor. It drops lines beyond its limits and reports their number in the log.
 class BoundedWriter : public log4cxx::helpers::Writer
 {
 public:
@@ -27,11 +27,11 @@
     void flush(log4cxx::helpers::Pool &pool) override;
     void close(log4cxx::helpers::Pool &pool) override;
 
-    /// \brief Hands what is buffered to the descriptor, as far as it takes it now.
+    /// \brief Writes as much of the buffer to the descriptor as is possible without blocking.
     void drain();
 
-    /// \brief Lines that were left out so far.
-    std::uint64_t leftOut() const;
+    /// \brief Returns the number of lines dropped so far.
+    std::uint64_t droppedLines() const;
 
 private:
     bool isWithinRate();
@@ -42,8 +42,8 @@
     std::string m_buffer;
     double m_tokens;
     Core::TimePoint m_refilledAt{};
-    std::uint64_t m_leftOut = 0;
-    std::uint64_t m_leftOutUnsaid = 0;
+    std::uint64_t m_droppedLines = 0;
+    std::uint64_t m_unreportedLines = 0;
 };
 
 } // namespace Verbena::Observe
--- a/src/libs/observe/eventformat.cpp
+++ b/src/libs/observe/eventformat.cpp
@@ -17,7 +17,7 @@
     return !value.empty() && std::all_of(value.begin(), value.end(), isPlainCharacter);
 }
 
-/// A value may come from a caller, so line ends and bytes that are not UTF-8 must not get through as they are.
+// A value may come from a caller, so line breaks and bytes that are not valid UTF-8 must be escaped or replaced.
 std::string quoted(const std::string &value)
 {
     return nlohmann::json(value).dump(-1, ' ', false, nlohmann::json::error_handler_t::replace);
--- a/src/libs/observe/eventlog.cpp
+++ b/src/libs/observe/eventlog.cpp
@@ -33,12 +33,12 @@
     return log4cxx::Level::getError();
 }
 
-/// What configureLog() chose; set before the first event and only read afterwards.
+/// \brief The configuration made by configureLog(); set before the first event and only read afterwards.
 struct LogState
 {
     LogOptions options;
     log4cxx::LoggerPtr logger; ///< Null until the log is configured.
-    std::shared_ptr<BoundedWriter> bounded; ///< Null if the log may wait for its reader.
+    std::shared_ptr<BoundedWriter> bounded; ///< Null if the log is not bounded.
 };
 
 LogState &state()
--- a/src/libs/observe/metrics.cpp
+++ b/src/libs/observe/metrics.cpp
@@ -1,7 +1,7 @@
 #include "metrics.h"
 
+#include "logarithmichistogram.h"
 #include "prometheustext.h"
-#include "spreadhistogram.h"
 
 #include <cmath>
 #include <set>
@@ -13,7 +13,7 @@
 constexpr const char *namePrefix = "verbena_";
 const TenantLabel otherTenants{"other", "other"};
 
-using TenantHistograms = std::map<TenantLabel, SpreadHistogram>;
+using TenantHistograms = std::map<TenantLabel, LogarithmicHistogram>;
 
 std::string labelsOf(const TenantLabel &tenant)
 {
@@ -43,12 +43,12 @@
 {
     std::size_t maximumTenants = 0;
     std::set<TenantLabel> tenants;
-    std::map<std::string, TenantHistograms> spans;
+    std::map<std::string, TenantHistograms> durations;
     std::map<std::string, TenantHistograms> amounts;
     std::map<std::string, std::uint64_t> counters;
     std::map<std::string, double> gauges;
 
-    /// The classes are words of callers, so that without a bound a caller could fill the memory.
+    /// Returns \a tenant, or a common label beyond the maximum. Callers choose the class names, so without a limit they could exhaust the memory.
     const TenantLabel &boundedTenant(const TenantLabel &tenant)
     {
         if (tenants.contains(tenant)) {
@@ -74,9 +74,9 @@
 
 Metrics::~Metrics() = default;
 
-void Metrics::recordSpan(const std::string &name, const TenantLabel &tenant, std::chrono::microseconds span)
+void Metrics::recordDuration(const std::string &name, const TenantLabel &tenant, std::chrono::microseconds duration)
 {
-    m_internals->record(m_internals->spans, spanBins, name, tenant, std::chrono::duration<double>(span).count());
+    m_internals->record(m_internals->durations, durationBins, name, tenant, std::chrono::duration<double>(duration).count());
 }
 
 void Metrics::recordAmount(const std::string &name, const TenantLabel &tenant, std::uint64_t amount)
@@ -103,18 +103,18 @@
     for (const auto &[name, value] : m_internals->gauges) {
         appendValue(text, name, "gauge", prometheusNumber(value));
     }
-    appendHistograms(text, m_internals->spans);
+    appendHistograms(text, m_internals->durations);
     appendHistograms(text, m_internals->amounts);
     return text;
 }
 
 std::chrono::microseconds Metrics::quantile(const std::string &name, double q) const
 {
-    const auto found = m_internals->spans.find(name);
-    if (found == m_internals->spans.end()) {
+    const auto found = m_internals->durations.find(name);
+    if (found == m_internals->durations.end()) {
         return std::chrono::microseconds(0);
     }
-    SpreadHistogram all(spanBins);
+    LogarithmicHistogram all(durationBins);
     for (const auto &[tenant, histogram] : found->second) {
         all.add(histogram);
     }
--- a/src/libs/observe/metrics.h
+++ b/src/libs/observe/metrics.h
@@ -8,17 +8,17 @@
 
 namespace Verbena::Observe {
 
-/// \brief Whom a measurement is about; part of the labels of every histogram per tenant or class.
+/// \brief The organisation and request class of a measurement; labels of every histogram.
 struct TenantLabel
 {
     std::string organisation;
     std::string requestClass;
 
-    // The check takes the hidden 0 of the generated comparison for a pointer.
+    // clang-tidy mistakes the literal 0 in the generated comparison for a null pointer.
     auto operator<=>(const TenantLabel &) const = default; // NOLINT(modernize-use-nullptr)
 };
 
-/// \brief Counts and histograms of one process, in bounded memory: beyond a number of tenants, the rest share one.
+/// \brief The counters, gauges and histograms of a process. Memory is bounded: tenants beyond a maximum number share one label.
 class Metrics
 {
 public:
@@ -28,22 +28,22 @@
     Metrics(const Metrics &) = delete;
     Metrics &operator=(const Metrics &) = delete;
 
-    /// \brief Notes one span, for instance "time_to_first_token_seconds".
-    void recordSpan(const std::string &name, const TenantLabel &tenant, std::chrono::microseconds span);
+    /// \brief Records a duration in the histogram \a name, for instance "time_to_first_token_seconds".
+    void recordDuration(const std::string &name, const TenantLabel &tenant, std::chrono::microseconds duration);
 
-    /// \brief Notes one amount, for instance "recomputed_tokens".
+    /// \brief Records an amount in the histogram \a name, for instance "recomputed_tokens".
     void recordAmount(const std::string &name, const TenantLabel &tenant, std::uint64_t amount);
 
-    /// \brief Adds to a counter without labels.
+    /// \brief Adds \a amount to a counter without labels.
     void count(const std::string &name, std::uint64_t amount = 1);
 
     /// \brief Sets a gauge without labels.
     void setGauge(const std::string &name, double value);
 
-    /// \brief Everything in the Prometheus text format; names get the prefix "verbena_".
+    /// \brief Returns all metrics in the Prometheus text format; names get the prefix "verbena_".
     std::string renderPrometheus() const;
 
-    /// \brief The upper edge of the bin that holds quantile \a q of a span histogram over all tenants.
+    /// \brief Returns the upper edge of the bin that contains quantile \a q (0 to 1) of the duration histogram \a name over all tenants; 0 without data.
     std::chrono::microseconds quantile(const std::string &name, double q) const;
 
 private:
--- a/src/libs/observe/prometheustext.h
+++ b/src/libs/observe/prometheustext.h
@@ -4,10 +4,10 @@
 
 namespace Verbena::Observe {
 
-/// \brief \a value as a label value: backslash, quote and line end are escaped.
+/// \brief Returns \a value as a label value, with backslashes, quotes and line feeds escaped.
 std::string escapePrometheusLabel(const std::string &value);
 
-/// \brief \a value with six digits, as Prometheus reads it.
+/// \brief Returns \a value with six significant digits in the format of Prometheus.
 std::string prometheusNumber(double value);
 
 } // namespace Verbena::Observe
--- a/src/libs/relay/relayedrequest.cpp
+++ b/src/libs/relay/relayedrequest.cpp
@@ -359,7 +359,7 @@
     m_context.metrics.count("streams_moved_total");
     reportMove({m_query.attemptId, m_service, m_choice->serverId, sinceArrival()}, choice->serverId, *m_cutter.lastId());
     m_call.reset();
-    m_cutter.dropPending();
+    m_cutter.discardPending();
     ++m_attempts.runs;
     ++m_arrivals;
     m_relaying = Relaying::Nothing;
@@ -426,7 +426,7 @@
         m_context.fleet.noteTrouble(*m_choice, isUnreachable ? Decisions::ServerTrouble::Unreachable : Decisions::ServerTrouble::Full, m_context.loop.now());
     }
     m_call.reset();
-    m_cutter.dropPending();
+    m_cutter.discardPending();
     if (failure == CallFailure::Lost || failure == CallFailure::ServerError) {
         ++m_attempts.runs;
     }
--- a/src/libs/relay/relayedrequest.h
+++ b/src/libs/relay/relayedrequest.h
@@ -14,7 +14,7 @@
 #include <decisions/relay/resendbudget.h>
 #include <decisions/spread/randomsource.h>
 #include <eventloop/timer.h>
-#include <http/eventcutter.h>
+#include <http/ssesplitter.h>
 
 #include <functional>
 #include <memory>
@@ -142,7 +142,7 @@
     Http::MessageHead m_answerHead;
     std::string m_heldBody;
     bool m_isServerError = false;
-    Http::EventCutter m_cutter;
+    Http::SseSplitter m_cutter;
     Core::TimePoint m_nextMove{}; ///< When moving the stream may be thought of again.
     std::chrono::milliseconds m_firstPartAfter{-1};
     bool m_isDone = false;
--- a/src/libs/relay/requestreport.cpp
+++ b/src/libs/relay/requestreport.cpp
@@ -85,9 +85,9 @@
 void reportEnd(const RequestReport &report, Observe::Metrics &metrics)
 {
     metrics.count("requests_" + std::to_string(report.status) + "_total");
-    metrics.recordSpan("request_seconds", report.label, report.total);
+    metrics.recordDuration("request_seconds", report.label, report.total);
     if (report.firstPartAfter.count() >= 0) {
-        metrics.recordSpan("first_part_seconds", report.label, report.firstPartAfter);
+        metrics.recordDuration("first_part_seconds", report.label, report.firstPartAfter);
     }
     const bool isChosen = report.choice != nullptr;
     static const FleetChoice none;
--- a/src/libs/router/agentlink.cpp
+++ b/src/libs/router/agentlink.cpp
@@ -127,7 +127,7 @@
     }
 }
 
-void AgentLink::receiveGarbage(const std::string &)
+void AgentLink::receiveInvalidMessage(const std::string &)
 {
     Observe::log(garbageFromAgent, {{"backend_server", m_name}, {"peer", m_endpoint}});
 }
--- a/src/libs/router/agentlink.h
+++ b/src/libs/router/agentlink.h
@@ -60,7 +60,7 @@
     Core::Result<void> sendAside(const verbena::wire::Envelope &message);
 
     void receiveMessage(const std::string &peer, const verbena::wire::Envelope &message) override;
-    void receiveGarbage(const std::string &peer) override;
+    void receiveInvalidMessage(const std::string &peer) override;
     void connectionChanged(Wire::ConnectionChange change, const std::string &address) override;
 
 private:
--- a/src/libs/router/requestmeter.cpp
+++ b/src/libs/router/requestmeter.cpp
@@ -27,15 +27,15 @@
     m_last = now;
     if (!m_hasTokens) {
         m_hasTokens = true;
-        m_metrics.recordSpan(timeToFirstToken, m_tenant, since);
+        m_metrics.recordDuration(timeToFirstToken, m_tenant, since);
     } else if (count > 0) {
-        m_metrics.recordSpan(timeBetweenTokens, m_tenant, since / count);
+        m_metrics.recordDuration(timeBetweenTokens, m_tenant, since / count);
     }
 }
 
 void RequestMeter::noteEnd(const verbena::wire::Ended &ended)
 {
-    m_metrics.recordSpan(queueWait, m_tenant, std::chrono::microseconds(ended.queue_wait_us()));
+    m_metrics.recordDuration(queueWait, m_tenant, std::chrono::microseconds(ended.queue_wait_us()));
     const std::uint32_t cached = std::min(ended.cached_tokens(), ended.prompt_tokens());
     m_metrics.recordAmount(cachedTokens, m_tenant, cached);
     m_metrics.recordAmount(recomputedTokens, m_tenant, ended.prompt_tokens() - cached);
--- a/src/libs/wire/curvekeys.cpp
+++ b/src/libs/wire/curvekeys.cpp
@@ -45,7 +45,7 @@
     keys.secretKey = withoutBlanks(line);
     KeyBuffer publicKey{};
     if (!isCurveKey(keys.secretKey) || zmq_curve_public(publicKey.data(), keys.secretKey.c_str()) != 0) {
-        return keyError(Core::ErrorCode::InvalidArgument, path, "The first line is not a CURVE key of 40 characters in Z85 form.");
+        return keyError(Core::ErrorCode::InvalidArgument, path, "The first line is not a CURVE key of 40 characters in Z85 encoding.");
     }
     keys.publicKey = publicKey.data();
     return keys;
@@ -56,7 +56,7 @@
     KeyBuffer publicKey{};
     KeyBuffer secretKey{};
     if (zmq_curve_keypair(publicKey.data(), secretKey.data()) != 0) {
-        return keyError(Core::ErrorCode::Internal, "", "ZeroMQ cannot make CURVE keys.");
+        return keyError(Core::ErrorCode::Internal, "", "ZeroMQ cannot generate CURVE keys.");
     }
     return CurveKeys{publicKey.data(), secretKey.data()};
 }
@@ -75,7 +75,7 @@
             continue;
         }
         if (!isCurveKey(key)) {
-            return keyError(Core::ErrorCode::InvalidArgument, path + ":" + std::to_string(number), "This is not a CURVE key of 40 characters in Z85 form.");
+            return keyError(Core::ErrorCode::InvalidArgument, path + ":" + std::to_string(number), "This is not a CURVE key of 40 characters in Z85 encoding.");
         }
         keys.push_back(std::move(key));
     }
--- a/src/libs/wire/datagramsocket.cpp
+++ b/src/libs/wire/datagramsocket.cpp
@@ -14,11 +14,11 @@
 
 namespace {
 
-// More than any envelope that is sent this way; larger ones would be cut into packets.
-constexpr std::size_t largestDatagram = 4096;
+// Larger than any envelope that is sent by UDP; larger datagrams would be fragmented.
+constexpr std::size_t maximumDatagramBytes = 4096;
 
-// Taken in one go, so that a flood leaves time for the rest of the loop.
-constexpr int datagramsAtOnce = 64;
+// Limits the datagrams received at once, so that a flood does not block the rest of the loop.
+constexpr int maximumDatagramsPerWakeUp = 64;
 
 } // namespace
 
@@ -57,8 +57,8 @@
 
 void DatagramSocket::receiveAll()
 {
-    std::array<char, largestDatagram> buffer{};
-    for (int received = 0; received < datagramsAtOnce; ++received) {
+    std::array<char, maximumDatagramBytes> buffer{};
+    for (int received = 0; received < maximumDatagramsPerWakeUp; ++received) {
         sockaddr_in from{};
         socklen_t fromSize = sizeof from;
         const ssize_t size = recvfrom(m_descriptor, buffer.data(), buffer.size(), 0, reinterpret_cast<sockaddr *>(&from), &fromSize);
--- a/src/libs/wire/datagramsocket.h
+++ b/src/libs/wire/datagramsocket.h
@@ -17,21 +17,21 @@
 
 namespace Verbena::Wire {
 
-/// \brief A UDP socket that carries envelopes which may be lost: news that the next ones replace.
+/// \brief A UDP socket for envelopes that may be lost because later ones replace them.
 class DatagramSocket
 {
 public:
-    /// \brief Called with each envelope and the address to answer to. What is no envelope is dropped.
+    /// \brief Function that is called with each envelope and the address of its sender. Invalid datagrams are discarded.
     using Receiver = std::function<void(const sockaddr_in &from, const verbena::wire::Envelope &message)>;
 
-    /// \brief Listens at \a address. Errors: Unavailable, if it cannot be had.
+    /// \brief Creates a socket that receives at \a address. Errors: Unavailable, if the address cannot be bound.
     static Core::Result<std::unique_ptr<DatagramSocket>> bind(EventLoop::Loop &loop, const sockaddr_in &address, Receiver receiver);
     ~DatagramSocket();
 
     DatagramSocket(const DatagramSocket &) = delete;
     DatagramSocket &operator=(const DatagramSocket &) = delete;
 
-    /// \brief Sends \a message once; nobody learns whether it arrives. Returns whether the kernel took it.
+    /// \brief Sends \a message once, without acknowledgement. Returns whether the kernel accepted it.
     bool send(const sockaddr_in &to, const verbena::wire::Envelope &message);
 
 private:
--- a/src/libs/wire/messagecontext.h
+++ b/src/libs/wire/messagecontext.h
@@ -2,7 +2,7 @@
 
 namespace Verbena::Wire {
 
-/// \brief Owns ZeroMQ's context; one per process.
+/// \brief Owner of the ZeroMQ context; one per process.
 class MessageContext
 {
 public:
--- a/src/libs/wire/messagesocket.cpp
+++ b/src/libs/wire/messagesocket.cpp
@@ -12,13 +12,13 @@
 namespace {
 
 constexpr std::size_t arenaBlockSize = 1024;
-// Messages ZeroMQ holds for one peer before a send is refused.
+// Number of messages that ZeroMQ queues for one peer before it refuses to send more.
 constexpr int highWaterMark = 10000;
 constexpr std::chrono::milliseconds reconnectInterval{50};
 constexpr std::chrono::milliseconds maximumReconnectInterval{1000};
-// What a process sends right before it ends still gets this long to reach its peers.
+// Time for messages sent right before the process ends to reach their peers.
 constexpr std::chrono::milliseconds linger{500};
-// A refused peer learns nothing and tries again after this.
+// A refused peer gets no reply; it retries after this time.
 constexpr std::chrono::milliseconds handshakeTimeout{2000};
 constexpr std::chrono::milliseconds heartbeatInterval{1000};
 constexpr std::chrono::milliseconds heartbeatTimeout{3000};
@@ -87,10 +87,10 @@
     setOption(socket, ZMQ_HANDSHAKE_IVL, handshakeTimeout);
     setOption(socket, ZMQ_HEARTBEAT_IVL, heartbeatInterval);
     setOption(socket, ZMQ_HEARTBEAT_TIMEOUT, heartbeatTimeout);
-    // A message that cannot reach the peer is refused here, so that the sender knows that it was not sent.
+    // Makes sending fail if the peer is not connected, so that the sender knows that the message was not sent.
     setOption(socket, isRouter ? ZMQ_ROUTER_MANDATORY : ZMQ_IMMEDIATE, 1);
     if (!applySecurity(socket, security, isRouter)) {
-        return Core::Error{Core::ErrorCode::InvalidArgument, "wire.keys", endpoint, "A CURVE key is not a valid Z85 key of 40 characters."};
+        return Core::Error{Core::ErrorCode::InvalidArgument, "wire.keys", endpoint, "A CURVE key is not a valid key of 40 characters in Z85 encoding."};
     }
     const int status = isRouter ? zmq_bind(socket, endpoint.c_str()) : zmq_connect(socket, endpoint.c_str());
     if (status != 0) {
@@ -131,7 +131,7 @@
 
 Core::Result<void> MessageSocket::send(const std::string &peer, const verbena::wire::Envelope &message)
 {
-    // ZMQ_FD signals edges only, and a send can swallow one: look for input before the loop blocks.
+    // ZMQ_FD is edge-triggered and sending can consume an edge, so check for input before the loop blocks.
     m_watcher->schedule();
     const std::size_t size = message.ByteSizeLong();
     zmq_msg_t part;
@@ -166,7 +166,7 @@
         }
         isFirst = false;
     }
-    // The arena keeps the small messages of a stream away from the heap.
+    // The arena on the stack avoids heap allocations for the small messages of a stream.
     std::array<char, arenaBlockSize> block{};
     google::protobuf::Arena arena(block.data(), block.size());
     auto *message = google::protobuf::Arena::CreateMessage<verbena::wire::Envelope>(&arena);
@@ -175,7 +175,7 @@
     if (isValid && message->body_case() != verbena::wire::Envelope::BODY_NOT_SET) {
         m_receiver.receiveMessage(peer, *message);
     } else {
-        m_receiver.receiveGarbage(peer);
+        m_receiver.receiveInvalidMessage(peer);
     }
     return true;
 }
--- a/src/libs/wire/messagesocket.h
+++ b/src/libs/wire/messagesocket.h
@@ -14,35 +14,35 @@
 
 namespace Verbena::Wire {
 
-/// \brief Takes the messages of a socket.
+/// \brief Interface that receives the messages and connection changes of a socket.
 class MessageReceiver
 {
 public:
     virtual ~MessageReceiver() = default;
 
-    /// \brief A message has come from \a peer, which is empty on a socket that connects.
+    /// \brief Receives a message from \a peer, which is empty on a connecting socket.
     virtual void receiveMessage(const std::string &peer, const verbena::wire::Envelope &message) = 0;
 
-    /// \brief Something came from \a peer that is no message of ours.
-    virtual void receiveGarbage(const std::string &peer) = 0;
+    /// \brief Handles data from \a peer that is not a valid envelope.
+    virtual void receiveInvalidMessage(const std::string &peer) = 0;
 
-    /// \brief A connection of the socket came up, was lost or failed; \a address is for people.
+    /// \brief Handles that a connection of the socket was established, lost or failed; \a address is for display only.
     ///
-    /// A socket that is bound does not know which peer a lost connection belonged to: a send to that peer fails from then on.
+    /// A bound socket cannot tell which peer a lost connection belonged to: sending to that peer fails from then on.
     virtual void connectionChanged(ConnectionChange change, const std::string &address);
 };
 
-/// \brief One ZeroMQ socket on an event loop that carries envelopes.
+/// \brief A ZeroMQ socket on an event loop that sends and receives envelopes.
 class MessageSocket
 {
 public:
-    /// \brief A socket that many peers connect to. With keys, the context must have a PeerAuthenticator.
+    /// \brief Creates a socket that many peers can connect to. If \a security has keys, the context must have a PeerAuthenticator.
     ///
     /// Errors: Unavailable, if the endpoint cannot be bound; InvalidArgument, if a key is not valid.
     static Core::Result<std::unique_ptr<MessageSocket>> bind(
         EventLoop::Loop &loop, MessageContext &context, const std::string &endpoint, const SocketSecurity &security, MessageReceiver &receiver);
 
-    /// \brief A socket that connects to one peer, and again whenever the connection is lost.
+    /// \brief Creates a socket that connects to one peer and reconnects whenever the connection is lost.
     static Core::Result<std::unique_ptr<MessageSocket>> connect(
         EventLoop::Loop &loop, MessageContext &context, const std::string &endpoint, const SocketSecurity &security, MessageReceiver &receiver);
 
@@ -51,13 +51,13 @@
     MessageSocket(const MessageSocket &) = delete;
     MessageSocket &operator=(const MessageSocket &) = delete;
 
-    /// \brief The endpoint in use, with the port that the system chose.
+    /// \brief Returns the endpoint in use, including a port chosen by the system.
     std::string endpoint() const;
 
-    /// \brief Hands a message to the socket.
+    /// \brief Queues a message for sending.
     ///
-    /// Errors, after which no byte of it was sent: Unavailable, if there is no connection to the peer; ResourceExhausted, if
-    /// the peer does not take what was sent before.
+    /// If there is an error, no byte of the message was sent: Unavailable, if there is no connection to the peer; ResourceExhausted, if
+    /// the send queue is full because the peer does not read.
     Core::Result<void> send(const std::string &peer, const verbena::wire::Envelope &message);
 
 private:
--- a/src/libs/wire/peerauthenticator.cpp
+++ b/src/libs/wire/peerauthenticator.cpp
@@ -18,10 +18,10 @@
 constexpr const char *zapEndpoint = "inproc://zeromq.zap.01";
 constexpr std::size_t binaryKeyLength = 32;
 constexpr std::size_t textKeyLength = 40;
-// A refused peer tries again all the time; the log tells of it no more often than this.
+// Minimum interval between log entries about refused peers, which retry continuously.
 constexpr std::chrono::seconds logInterval{5};
 
-// Places of the parts of a request by ZeroMQ's RFC 27.
+// Indexes of the parts of a ZAP request (ZeroMQ RFC 27).
 enum RequestPart { VersionPart, RequestIdPart, DomainPart, AddressPart, IdentityPart, MechanismPart, CredentialPart, PartCount };
 
 std::string keyOf(const std::string &credential)
@@ -75,13 +75,13 @@
     if (request.empty()) {
         return false;
     }
-    const bool isWelcome = isAllowed(request);
-    if (!isWelcome) {
-        noteRefusal(request.size() > AddressPart ? request[AddressPart] : "");
+    const bool isAccepted = isAllowed(request);
+    if (!isAccepted) {
+        recordRefusal(request.size() > AddressPart ? request[AddressPart] : "");
     }
     const std::string id = request.size() > RequestIdPart ? request[RequestIdPart] : "";
-    // With 400 the peer would never try again, although its key may be let in later.
-    const std::array<std::string, 6> answer{"1.0", id, isWelcome ? "200" : "300", "", isWelcome ? keyOf(request[CredentialPart]) : "", ""};
+    // With status 400 the peer would never retry, although its key may be allowed later.
+    const std::array<std::string, 6> answer{"1.0", id, isAccepted ? "200" : "300", "", isAccepted ? keyOf(request[CredentialPart]) : "", ""};
     for (std::size_t i = 0; i < answer.size(); ++i) {
         zmq_send(m_socket, answer[i].data(), answer[i].size(), ZMQ_DONTWAIT | (i + 1 < answer.size() ? ZMQ_SNDMORE : 0));
     }
@@ -94,7 +94,7 @@
         && request[CredentialPart].size() == binaryKeyLength && m_allowedKeys.contains(keyOf(request[CredentialPart]));
 }
 
-void PeerAuthenticator::noteRefusal(const std::string &address)
+void PeerAuthenticator::recordRefusal(const std::string &address)
 {
     ++m_refusedCount;
     if (m_loop.now() < m_nextLog) {
--- a/src/libs/wire/peerauthenticator.h
+++ b/src/libs/wire/peerauthenticator.h
@@ -15,30 +15,30 @@
 
 class MessageContext;
 
-/// \brief Decides which peers may connect to the encrypted sockets of a process, by their CURVE keys (ZeroMQ's ZAP).
+/// \brief Allow list of the CURVE keys of peers that may connect to the encrypted sockets of a process (a ZAP handler of ZeroMQ).
 ///
-/// It has to exist before the first socket is bound and until the last one is closed.
+/// It must be created before the first socket is bound and destroyed after the last one is closed.
 class PeerAuthenticator
 {
 public:
-    /// \brief Starts to answer, with nobody let in. Errors: Internal, if the context has one already.
+    /// \brief Creates an authenticator that refuses all peers until keys are set. Errors: Internal, if the context already has one.
     static Core::Result<std::unique_ptr<PeerAuthenticator>> create(EventLoop::Loop &loop, MessageContext &context);
     ~PeerAuthenticator();
 
     PeerAuthenticator(const PeerAuthenticator &) = delete;
     PeerAuthenticator &operator=(const PeerAuthenticator &) = delete;
 
-    /// \brief Sets the public keys that are let in, in Z85 form. Connections that exist already go on.
+    /// \brief Sets the allowed public keys, in Z85 encoding. Existing connections are kept.
     void setAllowedKeys(const std::vector<std::string> &keys);
 
-    /// \brief Connections refused so far.
+    /// \brief Returns the number of connections refused so far.
     std::uint64_t refusedCount() const;
 
 private:
     PeerAuthenticator(EventLoop::Loop &loop, void *socket);
     bool answerOne();
     bool isAllowed(const std::vector<std::string> &request) const;
-    void noteRefusal(const std::string &address);
+    void recordRefusal(const std::string &address);
 
     EventLoop::Loop &m_loop;
     void *m_socket;
--- a/src/libs/wire/socketmonitor.cpp
+++ b/src/libs/wire/socketmonitor.cpp
@@ -51,7 +51,7 @@
 
 bool SocketMonitor::receiveOne()
 {
-    // The first part holds the event's number as 16 bits and a value of 32 bits, the second the address.
+    // The first part contains the event number (16 bits) and a value (32 bits), the second part the address.
     const std::vector<std::string> parts = receiveParts(m_socket);
     if (parts.size() < 2 || parts[0].size() < sizeof(std::uint16_t)) {
         return !parts.empty();
--- a/src/libs/wire/socketmonitor.h
+++ b/src/libs/wire/socketmonitor.h
@@ -12,20 +12,20 @@
 
 class MessageContext;
 
-/// \brief What became of a connection.
+/// \brief A change of the state of a connection.
 enum class ConnectionChange {
-    Ready, ///< Connected, with the handshake done.
-    Lost, ///< Closed by the peer, by the network or because no heartbeat came.
+    Ready, ///< The connection is established and the handshake is complete.
+    Lost, ///< The connection was closed by the peer, by the network or after missing heartbeats.
     Failed, ///< The handshake failed, for instance because a key is wrong.
 };
 
-/// \brief Tells of the connections of a ZeroMQ socket that come and go.
+/// \brief Monitor that reports the connection changes of a ZeroMQ socket.
 class SocketMonitor
 {
 public:
     using Callback = std::function<void(ConnectionChange change, const std::string &address)>;
 
-    /// \brief Watches \a socket from now on. Errors: Internal.
+    /// \brief Starts monitoring \a socket. Errors: Internal.
     static Core::Result<std::unique_ptr<SocketMonitor>> create(EventLoop::Loop &loop, MessageContext &context, void *socket, Callback callback);
     ~SocketMonitor();
 
--- a/src/libs/wire/socketsecurity.h
+++ b/src/libs/wire/socketsecurity.h
@@ -4,12 +4,12 @@
 
 namespace Verbena::Wire {
 
-/// \brief CURVE keys of one socket, each in ZeroMQ's 40-character Z85 form. Empty keys mean no encryption.
+/// \brief The CURVE keys of a socket, each in the 40-character Z85 encoding of ZeroMQ. Empty keys mean no encryption.
 struct SocketSecurity
 {
     std::string ownPublicKey;
     std::string ownSecretKey;
-    std::string serverPublicKey; ///< For a socket that connects: the key the peer must have.
+    std::string serverPublicKey; ///< Key that the peer must have; for connecting sockets only.
 
     bool isEnabled() const
     {
--- a/src/libs/wire/zmqwatcher.cpp
+++ b/src/libs/wire/zmqwatcher.cpp
@@ -6,7 +6,7 @@
 
 namespace {
 
-// Messages one socket hands over before others get their turn.
+// Maximum number of messages that are processed for one socket before others are served.
 constexpr int maximumBatch = 256;
 
 int descriptorOf(void *socket)
@@ -35,7 +35,7 @@
 
 void ZmqWatcher::receiveAll()
 {
-    // ZMQ_FD signals edges only: what is left after a batch has to be fetched without another wake-up.
+    // ZMQ_FD is edge-triggered: messages left after a batch cause no further event, so the next batch is scheduled here.
     for (int count = 0; count < maximumBatch; ++count) {
         if (!m_receiveOne()) {
             return;
--- a/src/libs/wire/zmqwatcher.h
+++ b/src/libs/wire/zmqwatcher.h
@@ -9,14 +9,14 @@
 
 namespace Verbena::Wire {
 
-/// \brief Takes the input of a ZeroMQ socket, which it does not own, on an event loop.
+/// \brief Watcher that processes the input of a ZeroMQ socket on an event loop. It does not own the socket.
 class ZmqWatcher
 {
 public:
-    /// \brief Calls \a receiveOne, which returns false once there is nothing left, whenever there may be input.
+    /// \brief Creates a watcher that calls \a receiveOne whenever there may be input, until it returns false because no message is left.
     ZmqWatcher(EventLoop::Loop &loop, void *socket, std::function<bool()> receiveOne);
 
-    /// \brief Looks for input before the loop blocks next; needed after every send.
+    /// \brief Schedules a check for input before the loop blocks next; must be called after each send.
     void schedule();
 
 private:
@@ -27,7 +27,7 @@
     EventLoop::IoWatcher m_watcher;
 };
 
-/// \brief The parts of the next message of \a socket; none if there is no message.
+/// \brief Returns the parts of the next message of \a socket, or an empty list if there is no message.
 std::vector<std::string> receiveParts(void *socket);
 
 } // namespace Verbena::Wire
--- a/tests/auto/agent/agentharness.cpp
+++ b/tests/auto/agent/agentharness.cpp
@@ -91,7 +91,7 @@
     received.tokens += frame.tokens();
 }
 
-void FakeRouter::receiveGarbage(const std::string &)
+void FakeRouter::receiveInvalidMessage(const std::string &)
 {
 }
 
--- a/tests/auto/agent/agentharness.h
+++ b/tests/auto/agent/agentharness.h
@@ -53,7 +53,7 @@
     std::optional<verbena::wire::ProbeReply> probeReply;
 
     void receiveMessage(const std::string &peer, const verbena::wire::Envelope &message) override;
-    void receiveGarbage(const std::string &peer) override;
+    void receiveInvalidMessage(const std::string &peer) override;
 
 private:
     void receiveFrame(const verbena::wire::Frame &frame);
--- a/tests/auto/http/tst_httpclientdeadlines.cpp
+++ b/tests/auto/http/tst_httpclientdeadlines.cpp
@@ -37,7 +37,7 @@
     int &m_count;
 };
 
-// A server that accepts and never answers; calls come in series, one after the end of the other, as a follower of a silent store makes them.
+// The server accepts connections and never answers. Each series starts a call when the previous one has ended, as when following a store that does not respond.
 TEST(HttpClientDeadlineTest, endsEveryCallToASilentServer)
 {
     const auto loop = std::move(EventLoop::Loop::create().value());
@@ -47,17 +47,17 @@
     const auto client = std::move(HttpClient::create(*loop).value());
     constexpr int series = 8;
     constexpr int callsInSeries = 150;
-    int begun = 0;
+    int started = 0;
     int ended = 0;
     EventLoop::Timer tick(*loop, [] {});
     const Core::TimePoint deadline = loop->now() + 120s;
     while (ended < series * callsInSeries && loop->now() < deadline) {
-        while (begun - ended < series && begun < series * callsInSeries) {
+        while (started - ended < series && started < series * callsInSeries) {
             HttpCall call;
             call.url = "http://" + listener->endpoint().toString() + "/";
-            call.deadline = loop->now() + std::chrono::microseconds(1000 + begun * 37 % 9000);
+            call.deadline = loop->now() + std::chrono::microseconds(1000 + started * 37 % 9000);
             client->start(call, std::make_shared<Counter>(ended));
-            ++begun;
+            ++started;
         }
         tick.startAt(loop->now() + 1s);
         loop->runOnce();
--- a/tests/auto/http/tst_httpclientstart.cpp
+++ b/tests/auto/http/tst_httpclientstart.cpp
@@ -49,7 +49,7 @@
 
 } // namespace
 
-TEST(HttpClientStart, beginsACallWhileAnAnswerIsReceived)
+TEST(HttpClientStart, startsACallWhileAResponseIsReceived)
 {
     const auto loop = EventLoop::Loop::create().value();
     EchoHandler handler;
@@ -58,18 +58,18 @@
     HttpCall call;
     call.url = "http://127.0.0.1:" + std::to_string(server->port()) + "/";
     call.deadline = loop->now() + 10s;
-    bool isSecondWhole = false;
+    bool isSecondComplete = false;
     const auto second = std::make_shared<Receiver>([] {},
-        [&](bool isWhole) {
-            isSecondWhole = isWhole;
+        [&](bool isComplete) {
+            isSecondComplete = isComplete;
             loop->stop();
         });
     client->start(call, std::make_shared<Receiver>([&] { client->start(call, second); }, [](bool) {}));
-    // Ends the test where the second call never begins.
-    EventLoop::Timer giveUp(*loop, [&] { loop->stop(); });
-    giveUp.startAt(loop->now() + 15s);
+    // Ends the test if the second call never starts.
+    EventLoop::Timer timeout(*loop, [&] { loop->stop(); });
+    timeout.startAt(loop->now() + 15s);
     loop->run();
-    EXPECT_TRUE(isSecondWhole);
+    EXPECT_TRUE(isSecondComplete);
 }
 
 } // namespace Verbena::Http
--- a/tests/auto/http/tst_httpserver.cpp
+++ b/tests/auto/http/tst_httpserver.cpp
@@ -20,7 +20,7 @@
 
 using namespace std::chrono_literals;
 
-/// A caller's connection, written and read without any HTTP library in between.
+/// \brief A caller's TCP connection without an HTTP library.
 class RawConnection
 {
 public:
@@ -60,7 +60,7 @@
         return m_socket;
     }
 
-    /// Takes what has come, and tells whether the peer has closed.
+    /// \brief Appends the available data to \a text and returns whether the peer has closed the connection.
     bool readSome(std::string &text) const
     {
         std::array<char, 65536> part{};
@@ -91,7 +91,7 @@
         m_handle(exchange);
     }
 
-    // Runs the loop until the server closes the connection or has sent \a expected.
+    /// \brief Runs the loop until the server closes the connection or has sent \a expected; returns the received data.
     std::string readAnswer(const RawConnection &connection, const std::string &expected)
     {
         std::string answer;
@@ -113,7 +113,7 @@
     };
 };
 
-TEST_F(HttpServerTest, noticesACallerThatHangsUpWhileItsAnswerIsWaitedFor)
+TEST_F(HttpServerTest, detectsADisconnectBeforeTheResponse)
 {
     RawConnection connection(m_server->port());
     bool isClosed = false;
@@ -129,7 +129,7 @@
     EXPECT_TRUE(isClosed);
 }
 
-TEST_F(HttpServerTest, noticesACallerThatHangsUpBetweenTwoPartsOfAStream)
+TEST_F(HttpServerTest, detectsADisconnectBetweenTwoPartsOfAStream)
 {
     RawConnection connection(m_server->port());
     bool isClosed = false;
@@ -147,14 +147,14 @@
     EXPECT_TRUE(isClosed);
 }
 
-TEST_F(HttpServerTest, goesOnWhenACallerSendsItsNextRequestEarly)
+TEST_F(HttpServerTest, handlesPipelinedRequests)
 {
-    std::shared_ptr<HttpExchange> held;
+    std::shared_ptr<HttpExchange> firstExchange;
     int count = 0;
-    EventLoop::Timer later(*m_loop, [&] { held->respond(200, {}, "first"); });
+    EventLoop::Timer later(*m_loop, [&] { firstExchange->respond(200, {}, "first"); });
     m_handle = [&](const std::shared_ptr<HttpExchange> &exchange) {
         if (++count == 1) {
-            held = exchange;
+            firstExchange = exchange;
             later.startAt(m_loop->now() + 20ms);
         } else {
             exchange->respond(200, {}, "second");
@@ -166,7 +166,7 @@
     EXPECT_LT(answer.find("first"), answer.find("second"));
 }
 
-TEST_F(HttpServerTest, refusesABodyThatIsTooLarge)
+TEST_F(HttpServerTest, rejectsABodyThatIsTooLarge)
 {
     const RawConnection announced(m_server->port());
     announced.send("POST / HTTP/1.1\r\nHost: x\r\nContent-Length: 101\r\n\r\n");
@@ -176,7 +176,7 @@
     EXPECT_TRUE(readAnswer(chunked, "body_too_large").starts_with("HTTP/1.1 413"));
 }
 
-TEST_F(HttpServerTest, endsWhileCallersWait)
+TEST_F(HttpServerTest, canBeDestroyedWhileCallersWait)
 {
     const RawConnection connection(m_server->port());
     m_handle = [&](const std::shared_ptr<HttpExchange> &) {
@@ -189,7 +189,7 @@
     EXPECT_TRUE(connection.readSome(answer));
 }
 
-TEST_F(HttpServerTest, outlivesMalformedRequests)
+TEST_F(HttpServerTest, survivesMalformedRequests)
 {
     EXPECT_TRUE(rc::check("any bytes", [this](const std::vector<std::string> &words) {
         std::string text = *rc::gen::element<std::string>(
@@ -197,9 +197,9 @@
         for (const std::string &word : words) {
             text += word + *rc::gen::element<std::string>(" ", ":", "\r\n", "\r\n\r\n", "\n", "5\r\n");
         }
-        // Some of these are the beginning of a request, so there need not be an answer.
-        const RawConnection garbage(m_server->port());
-        garbage.send(text);
+        // Some of these texts are the start of a valid request, so there may be no response.
+        const RawConnection malformed(m_server->port());
+        malformed.send(text);
         const RawConnection next(m_server->port());
         next.send("GET / HTTP/1.1\r\nHost: x\r\n\r\n");
         RC_ASSERT(readAnswer(next, "fine").starts_with("HTTP/1.1 200"));
--- a/tests/auto/http/tst_messagereader.cpp
+++ b/tests/auto/http/tst_messagereader.cpp
@@ -1,5 +1,5 @@
-#include <http/eventcutter.h>
 #include <http/messagereader.h>
+#include <http/ssesplitter.h>
 
 #include <gtest/gtest.h>
 #include <rapidcheck.h>
@@ -8,7 +8,7 @@
 
 namespace {
 
-/// Keeps what a reader tells.
+/// \brief Records the parts that a reader reports.
 class Recorder : public MessageSink
 {
 public:
@@ -62,7 +62,7 @@
 
 const std::string chunkedRequest = "POST /a/b?c=d HTTP/1.1\r\nHost: x.example\r\nTransfer-Encoding: chunked\r\n\r\n4\r\nwarm\r\n7\r\n prompt\r\n0\r\n\r\n";
 
-TEST(MessageReaderTest, readsARequestInWhateverPiecesItComes)
+TEST(MessageReaderTest, parsesARequestReceivedInAnyPieces)
 {
     EXPECT_TRUE(rc::check([] {
         const auto cut = *rc::gen::inRange<std::size_t>(0, chunkedRequest.size() + 1);
@@ -80,13 +80,13 @@
     }));
 }
 
-TEST(MessageReaderTest, refusesARequestWithBothKindsOfLength)
+TEST(MessageReaderTest, rejectsContentLengthWithTransferEncoding)
 {
     EXPECT_EQ(readRequest("POST / HTTP/1.1\r\nHost: x\r\nContent-Length: 5\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n"), MessageFault::Malformed);
     EXPECT_EQ(readRequest("POST / HTTP/1.1\r\nHost: x\r\nTransfer-Encoding: chunked\r\nContent-Length: 5\r\n\r\n0\r\n\r\n"), MessageFault::Malformed);
 }
 
-TEST(MessageReaderTest, refusesLengthsThatCanBeUnderstoodInTwoWays)
+TEST(MessageReaderTest, rejectsAmbiguousLengths)
 {
     EXPECT_EQ(readRequest("POST / HTTP/1.1\r\nHost: x\r\nContent-Length: 2\r\nContent-Length: 2\r\n\r\nok"), MessageFault::Malformed);
     EXPECT_EQ(readRequest("POST / HTTP/1.1\r\nHost: x\r\nContent-Length: 2, 2\r\n\r\nok"), MessageFault::Malformed);
@@ -97,7 +97,7 @@
     EXPECT_EQ(readRequest("POST / HTTP/1.0\r\nHost: x\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n"), MessageFault::Malformed);
 }
 
-TEST(MessageReaderTest, refusesFoldedFieldsBareLineFeedsAndTwoHosts)
+TEST(MessageReaderTest, rejectsFoldedFieldsBareLineFeedsAndTwoHosts)
 {
     EXPECT_EQ(readRequest("GET / HTTP/1.1\r\nHost: x\r\nA: b\r\n c\r\n\r\n"), MessageFault::Malformed);
     EXPECT_EQ(readRequest("GET / HTTP/1.1\r\nHost: x\r\nA: b\r\n\tc\r\n\r\n"), MessageFault::Malformed);
@@ -105,14 +105,14 @@
     EXPECT_EQ(readRequest("GET / HTTP/1.1\r\nHost: x\r\nHost: y\r\n\r\n"), MessageFault::Malformed);
 }
 
-TEST(MessageReaderTest, refusesOddChunkSizes)
+TEST(MessageReaderTest, rejectsInvalidChunkSizes)
 {
     EXPECT_EQ(readRequest("POST / HTTP/1.1\r\nHost: x\r\nTransfer-Encoding: chunked\r\n\r\n0x2\r\nok\r\n0\r\n\r\n"), MessageFault::Malformed);
     EXPECT_EQ(readRequest("POST / HTTP/1.1\r\nHost: x\r\nTransfer-Encoding: chunked\r\n\r\n-2\r\nok\r\n0\r\n\r\n"), MessageFault::Malformed);
     EXPECT_EQ(readRequest("POST / HTTP/1.1\r\nHost: x\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nokay\r\n0\r\n\r\n"), MessageFault::Malformed);
 }
 
-TEST(MessageReaderTest, keepsBytesThatFollowAWholeRequestApart)
+TEST(MessageReaderTest, buffersBytesAfterACompleteRequest)
 {
     Recorder recorder;
     MessageReader reader(MessageReader::Kind::Requests, recorder, {});
@@ -124,7 +124,7 @@
     EXPECT_EQ(recorder.heads().back().target, "/second");
 }
 
-TEST(MessageReaderTest, holdsToItsLimits)
+TEST(MessageReaderTest, enforcesItsLimits)
 {
     Recorder recorder;
     const std::string head = "POST / HTTP/1.1\r\nHost: x\r\nContent-Length: 100\r\n";
@@ -133,21 +133,21 @@
     EXPECT_EQ(read(head + "\r\n", recorder, {1024, 100}), std::nullopt);
 }
 
-TEST(MessageReaderTest, tellsAnAnswerThatEndsEarlyFromAWholeOne)
+TEST(MessageReaderTest, distinguishesTruncatedFromCompleteResponses)
 {
     Recorder recorder;
-    MessageReader shortened(MessageReader::Kind::Answers, recorder, {});
-    EXPECT_FALSE(shortened.feed("HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nhalf").has_value());
-    EXPECT_EQ(shortened.feedEnd(), MessageFault::Truncated);
-    MessageReader unframed(MessageReader::Kind::Answers, recorder, {});
-    EXPECT_FALSE(unframed.feed("HTTP/1.1 200 OK\r\n\r\nall there is").has_value());
-    EXPECT_FALSE(unframed.isDone());
-    EXPECT_EQ(unframed.feedEnd(), std::nullopt);
-    EXPECT_TRUE(unframed.isDone());
+    MessageReader truncated(MessageReader::Kind::Answers, recorder, {});
+    EXPECT_FALSE(truncated.feed("HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nhalf").has_value());
+    EXPECT_EQ(truncated.feedEnd(), MessageFault::Truncated);
+    MessageReader endedByClose(MessageReader::Kind::Answers, recorder, {});
+    EXPECT_FALSE(endedByClose.feed("HTTP/1.1 200 OK\r\n\r\nall there is").has_value());
+    EXPECT_FALSE(endedByClose.isDone());
+    EXPECT_EQ(endedByClose.feedEnd(), std::nullopt);
+    EXPECT_TRUE(endedByClose.isDone());
 }
 
-// The library takes no limit for a limit of nothing where a body ends with its connection.
-TEST(MessageReaderTest, readsALongBodyThatEndsWithItsConnection)
+// Without a limit, Boost.Beast rejects every body that ends with its connection; the reader must accept it.
+TEST(MessageReaderTest, parsesALongBodyThatEndsWithItsConnection)
 {
     Recorder recorder;
     MessageReader reader(MessageReader::Kind::Answers, recorder, {});
@@ -156,7 +156,7 @@
     EXPECT_EQ(recorder.body().size(), 100'000U);
 }
 
-TEST(MessageReaderTest, seesNoBodyWhereNoneCanBe)
+TEST(MessageReaderTest, expectsNoBodyAfterHead)
 {
     Recorder recorder;
     MessageReader reader(MessageReader::Kind::Answers, recorder, {});
@@ -165,25 +165,25 @@
     EXPECT_TRUE(reader.isDone());
 }
 
-TEST(EventCutterTest, handsOnWholeEventsInWhateverPiecesTheyCome)
+TEST(SseSplitterTest, returnsCompleteEventsReceivedInAnyPieces)
 {
     EXPECT_TRUE(rc::check([] {
         const std::string text = "id: 1\ndata: a\n\nid: 2\ndata: b\ndata: c\n\nid: 3\ndata:\n\n";
         const auto cut = *rc::gen::inRange<std::size_t>(0, text.size() + 1);
-        EventCutter cutter;
-        const std::string first = cutter.feed(text.substr(0, cut));
+        SseSplitter splitter;
+        const std::string first = splitter.feed(text.substr(0, cut));
         RC_ASSERT(first.empty() || (first.size() >= 2 && first.substr(first.size() - 2) == "\n\n"));
-        RC_ASSERT(first + cutter.feed(text.substr(cut)) == text);
-        RC_ASSERT(cutter.lastId() == std::optional<std::uint64_t>(3));
+        RC_ASSERT(first + splitter.feed(text.substr(cut)) == text);
+        RC_ASSERT(splitter.lastId() == std::optional<std::uint64_t>(3));
     }));
 }
 
-TEST(EventCutterTest, dropsHalfAnEventAndWhatWasDeliveredBefore)
+TEST(SseSplitterTest, discardsIncompleteAndDeliveredEvents)
 {
-    EventCutter cutter;
-    EXPECT_EQ(cutter.feed("id: 1\ndata: a\n\nid: 2\nda"), "id: 1\ndata: a\n\n");
-    cutter.dropPending();
-    EXPECT_EQ(cutter.feed("id: 1\ndata: a\n\nid: 2\ndata: b\n\n"), "id: 2\ndata: b\n\n");
+    SseSplitter splitter;
+    EXPECT_EQ(splitter.feed("id: 1\ndata: a\n\nid: 2\nda"), "id: 1\ndata: a\n\n");
+    splitter.discardPending();
+    EXPECT_EQ(splitter.feed("id: 1\ndata: a\n\nid: 2\ndata: b\n\n"), "id: 2\ndata: b\n\n");
 }
 
 } // namespace
--- a/tests/auto/observe/tst_eventlog.cpp
+++ b/tests/auto/observe/tst_eventlog.cpp
@@ -30,7 +30,7 @@
     EXPECT_EQ(line.substr(4, 1) + line.substr(10, 1), "-T") << line;
 }
 
-TEST(EventLogTest, writesOneJsonObjectALineWithTheStepAndPeerOfErrors)
+TEST(EventLogTest, writesOneJsonObjectPerLineWithTheStepAndPeerOfErrors)
 {
     const std::string line = logged({.process = "router1", .isJson = true}, [] {
         log(testEvent, Core::Error{Core::ErrorCode::Unavailable, "agent.connect", "e1", "It is not there."}, {{"attempt", "2"}});
--- a/tests/auto/observe/tst_metrics.cpp
+++ b/tests/auto/observe/tst_metrics.cpp
@@ -20,8 +20,8 @@
 TEST(MetricsTest, rendersBucketsSumAndCountForEachTenant)
 {
     Metrics metrics;
-    metrics.recordSpan("first_token_seconds", {"kessick", "urgent"}, std::chrono::milliseconds(200));
-    metrics.recordSpan("first_token_seconds", {"kessick", "urgent"}, std::chrono::milliseconds(300));
+    metrics.recordDuration("first_token_seconds", {"kessick", "urgent"}, std::chrono::milliseconds(200));
+    metrics.recordDuration("first_token_seconds", {"kessick", "urgent"}, std::chrono::milliseconds(300));
     metrics.recordAmount("recomputed_tokens", {"kalari", ""}, 0);
     metrics.count("requests", 3);
     metrics.setGauge("open", 2.5);
@@ -44,7 +44,7 @@
     EXPECT_NE(metrics.renderPrometheus().find(R"(organisation="a\"b\\c\nd",class="x")"), std::string::npos);
 }
 
-TEST(MetricsTest, sharesOneTenantBeyondTheBound)
+TEST(MetricsTest, sharesOneLabelBeyondTheMaximumOfTenants)
 {
     Metrics metrics(2);
     for (int i = 0; i < 10; ++i) {
@@ -56,16 +56,16 @@
     EXPECT_EQ(page.find("organisation2"), std::string::npos);
 }
 
-TEST(MetricsTest, quantileLiesAtMostOneBinAboveTheSortedOne)
+TEST(MetricsTest, quantileIsAtMostOneBinAboveTheExactOne)
 {
     EXPECT_TRUE(rc::check("against sorting", [] {
-        const auto spans = *rc::gen::nonEmpty(rc::gen::container<std::vector<int>>(rc::gen::inRange(20, 900'000'000)));
+        const auto durations = *rc::gen::nonEmpty(rc::gen::container<std::vector<int>>(rc::gen::inRange(20, 900'000'000)));
         const double q = *rc::gen::inRange(1, 101) / 100.0;
         Metrics metrics;
-        for (std::size_t i = 0; i < spans.size(); ++i) {
-            metrics.recordSpan("span", {std::to_string(i % 3), ""}, microseconds(spans[i]));
+        for (std::size_t i = 0; i < durations.size(); ++i) {
+            metrics.recordDuration("span", {std::to_string(i % 3), ""}, microseconds(durations[i]));
         }
-        std::vector<int> sorted = spans;
+        std::vector<int> sorted = durations;
         std::sort(sorted.begin(), sorted.end());
         const int exact = sorted[static_cast<std::size_t>(std::ceil(q * static_cast<double>(sorted.size()))) - 1];
         const double bin = std::pow(10.0, 1.0 / 12.0);
--- a/tests/auto/wire/tst_wire.cpp
+++ b/tests/auto/wire/tst_wire.cpp
@@ -20,10 +20,10 @@
 using Wire::PeerAuthenticator;
 using Wire::SocketSecurity;
 
-constexpr std::chrono::seconds patience{30};
+constexpr std::chrono::seconds timeout{30};
 constexpr std::chrono::milliseconds repeatInterval{5};
 
-/// Notes what a socket takes in.
+/// \brief Records the messages and connection changes of a socket.
 class Recorder : public Wire::MessageReceiver
 {
 public:
@@ -33,9 +33,9 @@
         names.push_back(message.hello().name());
     }
 
-    void receiveGarbage(const std::string &) override
+    void receiveInvalidMessage(const std::string &) override
     {
-        ++garbageCount;
+        ++invalidCount;
     }
 
     void connectionChanged(ConnectionChange change, const std::string &) override
@@ -45,7 +45,7 @@
 
     std::string lastPeer;
     std::vector<std::string> names;
-    int garbageCount = 0;
+    int invalidCount = 0;
     int lostCount = 0;
 };
 
@@ -60,10 +60,10 @@
     {
     }
 
-    /// Runs the loop until \a isDone holds; calls \a repeat in between.
+    /// \brief Runs the loop until \a isDone returns true; calls \a repeat in each iteration.
     bool runUntil(const std::function<bool()> &isDone, const std::function<void()> &repeat = {})
     {
-        const Core::TimePoint end = m_loop->now() + patience;
+        const Core::TimePoint end = m_loop->now() + timeout;
         EventLoop::Timer timer(*m_loop, [&] {
             if (isDone() || m_loop->now() > end) {
                 m_loop->stop();
@@ -105,7 +105,7 @@
     CurveKeys m_clientKeys;
 };
 
-TEST_F(WireTest, letsInAPeerWithAKnownKey)
+TEST_F(WireTest, acceptsAPeerWithAnAllowedKey)
 {
     m_authenticator->setAllowedKeys({m_clientKeys.publicKey});
     Recorder server;
@@ -116,7 +116,7 @@
     EXPECT_EQ(m_authenticator->refusedCount(), 0U);
 }
 
-TEST_F(WireTest, refusesAnUnknownKeyUntilItIsLetIn)
+TEST_F(WireTest, refusesAnUnknownKeyUntilItIsAllowed)
 {
     Recorder server;
     Recorder client;
@@ -145,7 +145,7 @@
     EXPECT_EQ(std::count(server.names.begin(), server.names.end(), "plain"), 0);
 }
 
-TEST_F(WireTest, tellsBothSidesThatAPeerIsGone)
+TEST_F(WireTest, notifiesBothSidesThatAPeerIsGone)
 {
     m_authenticator->setAllowedKeys({m_clientKeys.publicKey});
     Recorder server;
@@ -170,7 +170,7 @@
     EXPECT_TRUE(runUntil([&] { return other.lostCount > 0; }));
 }
 
-TEST_F(WireTest, reportsWhatIsNoMessage)
+TEST_F(WireTest, reportsInvalidMessages)
 {
     Recorder server;
     const auto bound = std::move(MessageSocket::bind(*m_loop, m_context, "tcp://127.0.0.1:*", {}, server).value());
@@ -182,17 +182,17 @@
     zmq_send(socket, "\xff\xff\xff", 3, 0);
     zmq_send(socket, "a", 1, ZMQ_SNDMORE);
     zmq_send(socket, "b", 1, 0);
-    EXPECT_TRUE(runUntil([&] { return server.garbageCount == 3; }));
+    EXPECT_TRUE(runUntil([&] { return server.invalidCount == 3; }));
     zmq_close(socket);
 }
 
-TEST(CurveKeysTest, readsKeyFilesAndNeverShowsASecret)
+TEST(CurveKeysTest, readsKeyFilesAndNeverRevealsASecret)
 {
     const TemporaryFolder folder;
     const CurveKeys keys = CurveKeys::generate().value();
     EXPECT_EQ(CurveKeys::fromSecretKeyFile(folder.write("secret", keys.secretKey + "\n")).value().publicKey, keys.publicKey);
     EXPECT_EQ(Wire::readPublicKeys(folder.write("known", "# routers\n\n " + keys.publicKey + "\r\n")).value(), std::vector{keys.publicKey});
-    // Cut at its end: a Z85 key never begins with #, but its second character may be one and would make the line a comment.
+    // Truncated at the end rather than at the start: a Z85 key never starts with #, but its second character may be # and would make the line a comment.
     const std::string broken = keys.secretKey.substr(0, keys.secretKey.size() - 1);
     EXPECT_EQ(CurveKeys::fromSecretKeyFile(folder.write("short", broken)).error().toString().find(broken), std::string::npos);
     EXPECT_EQ(Wire::readPublicKeys(folder.write("wrong", "# routers\n" + broken)).error().peer, folder.write("wrong", "") + ":2");
--- a/tests/benchmarks/control/looptasks.cpp
+++ b/tests/benchmarks/control/looptasks.cpp
@@ -99,7 +99,7 @@
         m_task->receiveFromPeer(peer, message);
     }
 
-    void receiveGarbage(const std::string &) override
+    void receiveInvalidMessage(const std::string &) override
     {
     }
 
@@ -123,7 +123,7 @@
             owner.m_task->receiveFromPeer(id, message);
         }
 
-        void receiveGarbage(const std::string &) override
+        void receiveInvalidMessage(const std::string &) override
         {
         }
 
--- a/tests/benchmarks/slopes/metricsslopes.cpp
+++ b/tests/benchmarks/slopes/metricsslopes.cpp
@@ -16,7 +16,7 @@
         for (int i = 0; i < tenants; ++i) {
             const Observe::TenantLabel tenant{"organisation" + std::to_string(i), "urgent"};
             for (int sample = 1; sample < 2'000; ++sample) {
-                metrics->recordSpan("time_to_first_token_seconds", tenant, std::chrono::microseconds(sample * sample));
+                metrics->recordDuration("time_to_first_token_seconds", tenant, std::chrono::microseconds(sample * sample));
             }
         }
         return metrics;
