--- a/src/libs/observe/logarithmichistogram.h
+++ b/src/libs/observe/logarithmichistogram.h
@@ -7,7 +7,7 @@
 
 namespace Verbena::Observe {
 
-/// \brief The range of a histogram, whose bins have the same number and width on a logarithmic axis for each power of ten.
+/// \brief The range of a histogram. Each power of ten is divided into the same number of bins of equal width on a logarithmic axis.
 struct BinLayout
 {
     double lowest; ///< Lower edge of the first bin.
--- a/src/libs/observe/metrics.h
+++ b/src/libs/observe/metrics.h
@@ -8,7 +8,7 @@
 
 namespace Verbena::Observe {
 
-/// \brief The organisation and request class of a measurement; labels of every histogram.
+/// \brief The organisation and request class of a measurement; the labels of every histogram.
 struct TenantLabel
 {
     std::string organisation;
--- a/src/libs/wire/messagesocket.cpp
+++ b/src/libs/wire/messagesocket.cpp
@@ -18,7 +18,7 @@
 constexpr std::chrono::milliseconds maximumReconnectInterval{1000};
 // Time for messages sent right before the process ends to reach their peers.
 constexpr std::chrono::milliseconds linger{500};
-// A refused peer gets no reply; it retries after this time.
+// Time after which a refused peer, which gets no reply, tries again.
 constexpr std::chrono::milliseconds handshakeTimeout{2000};
 constexpr std::chrono::milliseconds heartbeatInterval{1000};
 constexpr std::chrono::milliseconds heartbeatTimeout{3000};
--- a/src/libs/wire/peerauthenticator.h
+++ b/src/libs/wire/peerauthenticator.h
@@ -15,7 +15,7 @@
 
 class MessageContext;
 
-/// \brief Allow list of the CURVE keys of peers that may connect to the encrypted sockets of a process (a ZAP handler of ZeroMQ).
+/// \brief Authenticator (ZAP handler of ZeroMQ) that decides by CURVE keys which peers may connect to the encrypted sockets of a process.
 ///
 /// It must be created before the first socket is bound and destroyed after the last one is closed.
 class PeerAuthenticator
--- a/tests/auto/http/tst_httpclientdeadlines.cpp
+++ b/tests/auto/http/tst_httpclientdeadlines.cpp
@@ -37,7 +37,8 @@
     int &m_count;
 };
 
-// The server accepts connections and never answers. Each series starts a call when the previous one has ended, as when following a store that does not respond.
+// Guards against calls that never end although their deadline has passed. The server accepts connections and never answers. Each series starts a call when
+// its previous one has ended, as when following a store that does not respond.
 TEST(HttpClientDeadlineTest, endsEveryCallToASilentServer)
 {
     const auto loop = std::move(EventLoop::Loop::create().value());
