--- a/src/libs/agent/modelordertask.cpp
+++ b/src/libs/agent/modelordertask.cpp
@@ -48,8 +48,8 @@
     , m_name(name)
     , m_plan(backendServerId(name))
     , m_orders({})
-    , m_engineLease(table, loop, Control::LeaseKeeper::namedLease({}, "engines/" + name, name, seed), [this] { run(); })
-    , m_permit(table, loop, Control::LeaseKeeper::weightPermit({}, name, seed + 1), [this] { run(); })
+    , m_engineLease(table, loop, Control::LeaseManager::namedLease({}, "engines/" + name, name, seed), [this] { run(); })
+    , m_permit(table, loop, Control::LeaseManager::weightPermit({}, name, seed + 1), [this] { run(); })
     , m_timer(loop, [this] { run(); })
 {
 }
@@ -156,7 +156,7 @@
     if (!m_orders.maySend(order, m_engineLease.lease(), m_permit.lease(), m_loop.now())) {
         return;
     }
-    m_orders.noteSent(order, m_loop.now());
+    m_orders.recordSent(order, m_loop.now());
     ++m_sentCount;
     m_backend.sendOrder(order, [this, order](OrderAnswer answer) { receiveAnswer(order, answer); });
 }
@@ -173,7 +173,7 @@
             {"fencing", std::to_string(order.fencingNumber)},
             {"answer", answerName(answer)}});
     m_fencedCount += answer == OrderAnswer::Fenced ? 1 : 0;
-    m_orders.noteAnswer(order, answer, m_loop.now());
+    m_orders.recordAnswer(order, answer, m_loop.now());
     run();
 }
 
--- a/src/libs/agent/modelordertask.h
+++ b/src/libs/agent/modelordertask.h
@@ -2,7 +2,7 @@
 
 #include "backendadapter.h"
 
-#include <control/leasekeeper.h>
+#include <control/leasemanager.h>
 #include <decisions/gate/modelplan.h>
 #include <eventloop/timer.h>
 #include <settings/inforcesettings.h>
@@ -44,8 +44,8 @@
     std::string m_name;
     Decisions::ModelPlan m_plan;
     Decisions::OrderPlan m_orders;
-    Control::LeaseKeeper m_engineLease;
-    Control::LeaseKeeper m_permit;
+    Control::LeaseManager m_engineLease;
+    Control::LeaseManager m_permit;
     std::vector<Settings::BackendServerSettings> m_servers;
     std::vector<Store::HostEntry> m_hosts;
     std::vector<Decisions::ModelVersion> m_held;
--- a/src/libs/control/budgetedtable.cpp
+++ b/src/libs/control/budgetedtable.cpp
@@ -11,12 +11,12 @@
 
 constexpr const char *peerName = "table";
 
-Core::Error overBudget(const char *step)
+Core::Error budgetError(const char *step)
 {
     return {Core::ErrorCode::ResourceExhausted, step, peerName, "This process's part of the table's budget is used up."};
 }
 
-Core::Error backingOff(const char *step)
+Core::Error backoffError(const char *step)
 {
     return {Core::ErrorCode::Unavailable, step, peerName, "The table failed a moment ago; it is left alone for now."};
 }
@@ -29,7 +29,7 @@
     Internals(Store::TableService &wrapped, EventLoop::Loop &eventLoop, const TableBudget &budget, std::uint64_t seed)
         : table(wrapped)
         , loop(eventLoop)
-        , longestCall(budget.longestCall)
+        , maximumCallDuration(budget.maximumCallDuration)
         , reads(budget.readsPerSecond, budget.burst, eventLoop.now())
         , writes(budget.writesPerSecond, budget.burst, eventLoop.now())
         , backoff(budget.backoff, seed)
@@ -42,14 +42,14 @@
     {
         const Core::TimePoint now = loop.now();
         if (now < backoff.notBefore()) {
-            return backingOff(step);
+            return backoffError(step);
         }
-        return budget.take(now) ? std::nullopt : std::optional(overBudget(step));
+        return budget.tryConsume(now) ? std::nullopt : std::optional(budgetError(step));
     }
 
     Core::TimePoint boundedDeadline(Core::TimePoint deadline) const
     {
-        return std::min(deadline, loop.now() + longestCall);
+        return std::min(deadline, loop.now() + maximumCallDuration);
     }
 
     void refuseLater(std::function<void()> refusal)
@@ -67,20 +67,20 @@
         }
     }
 
-    void noteEnd(bool isSuccess)
+    void recordResult(bool isSuccess)
     {
         if (isSuccess) {
-            backoff.noteSuccess();
+            backoff.recordSuccess();
         } else {
-            backoff.noteFailure(loop.now());
+            backoff.recordFailure(loop.now());
         }
     }
 
-    static RowsCallback watchRows(const std::shared_ptr<Internals> &self, RowsCallback done)
+    static RowsCallback wrapRowsCallback(const std::shared_ptr<Internals> &self, RowsCallback done)
     {
         return [weak = std::weak_ptr(self), done = std::move(done)](const Core::Result<std::vector<Store::TableRow>> &rows) {
             if (const auto alive = weak.lock()) {
-                alive->noteEnd(rows.has_value());
+                alive->recordResult(rows.has_value());
                 done(rows);
             }
         };
@@ -88,7 +88,7 @@
 
     Store::TableService &table;
     EventLoop::Loop &loop;
-    std::chrono::milliseconds longestCall;
+    std::chrono::milliseconds maximumCallDuration;
     Decisions::StoreBudget reads;
     Decisions::StoreBudget writes;
     Decisions::Backoff backoff;
@@ -109,7 +109,7 @@
         m_internals->refuseLater([done = std::move(done), error] { done(*error); });
         return;
     }
-    m_internals->table.get(keys, m_internals->boundedDeadline(deadline), Internals::watchRows(m_internals, std::move(done)));
+    m_internals->table.get(keys, m_internals->boundedDeadline(deadline), Internals::wrapRowsCallback(m_internals, std::move(done)));
 }
 
 void BudgetedTable::scan(const std::string &prefix, std::uint64_t sinceRevision, std::size_t limit, Core::TimePoint deadline, RowsCallback done)
@@ -118,7 +118,7 @@
         m_internals->refuseLater([done = std::move(done), error] { done(*error); });
         return;
     }
-    m_internals->table.scan(prefix, sinceRevision, limit, m_internals->boundedDeadline(deadline), Internals::watchRows(m_internals, std::move(done)));
+    m_internals->table.scan(prefix, sinceRevision, limit, m_internals->boundedDeadline(deadline), Internals::wrapRowsCallback(m_internals, std::move(done)));
 }
 
 void BudgetedTable::commit(const std::vector<Store::RowWrite> &writes, Core::TimePoint deadline, CommitCallback done)
@@ -127,13 +127,13 @@
         m_internals->refuseLater([done = std::move(done), detail = error->toString()] { done({Store::CommitOutcome::NotSent, 0, {}, detail}); });
         return;
     }
-    auto watched = [weak = std::weak_ptr(m_internals), done = std::move(done)](const Store::CommitAnswer &answer) {
+    auto wrapped = [weak = std::weak_ptr(m_internals), done = std::move(done)](const Store::CommitAnswer &answer) {
         if (const auto alive = weak.lock()) {
-            alive->noteEnd(answer.outcome == Store::CommitOutcome::Committed || answer.outcome == Store::CommitOutcome::Conflict);
+            alive->recordResult(answer.outcome == Store::CommitOutcome::Committed || answer.outcome == Store::CommitOutcome::Conflict);
             done(answer);
         }
     };
-    m_internals->table.commit(writes, m_internals->boundedDeadline(deadline), std::move(watched));
+    m_internals->table.commit(writes, m_internals->boundedDeadline(deadline), std::move(wrapped));
 }
 
 } // namespace Verbena::Control
--- a/src/libs/control/budgetedtable.h
+++ b/src/libs/control/budgetedtable.h
@@ -19,7 +19,7 @@
     double readsPerSecond = 20;
     double writesPerSecond = 20;
     double burst = 20;
-    std::chrono::milliseconds longestCall{2'000}; ///< No call's deadline lies further off.
+    std::chrono::milliseconds maximumCallDuration{2'000}; ///< No call's deadline lies further off.
     Decisions::BackoffOptions backoff;
 };
 
--- a/src/libs/control/claimkeeper.h
+++ b/src/libs/control/claimmanager.h
@@ -1,6 +1,6 @@
 #pragma once
 
-#include <decisions/control/claimledger.h>
+#include <decisions/control/claimregistry.h>
 #include <eventloop/deferredcall.h>
 #include <eventloop/timer.h>
 
@@ -13,17 +13,17 @@
 /// \brief Claims requests that may run at most once in the platform's table; drives a ClaimLedger on an event loop.
 ///
 /// Each claim that is granted has to end by exactly one of recordOutcome(), release() and abandon().
-class ClaimKeeper
+class ClaimManager
 {
 public:
-    using DecidedCallback = std::function<void(const Decisions::ClaimResult &)>;
+    using ResultCallback = std::function<void(const Decisions::ClaimResult &)>;
 
     /// \brief Uses \a table, which has to live longer. \a owner and \a seed: see ClaimLedger.
-    ClaimKeeper(Store::TableService &table, EventLoop::Loop &loop, const Decisions::ClaimOptions &options, std::string owner, std::uint64_t seed);
-    ~ClaimKeeper();
+    ClaimManager(Store::TableService &table, EventLoop::Loop &loop, const Decisions::ClaimOptions &options, std::string owner, std::uint64_t seed);
+    ~ClaimManager();
 
     /// \brief Asks for a claim; \a done is called once from the loop, never from within this call.
-    Decisions::ClaimId claim(const Decisions::ClaimRequest &request, DecidedCallback done);
+    Decisions::ClaimId claim(const Decisions::ClaimRequest &request, ResultCallback done);
 
     /// \brief To be asked right before the dispatch of a granted claim.
     bool mayDispatch(Decisions::ClaimId id) const;
@@ -35,12 +35,12 @@
 private:
     Decisions::ClockReading reading() const;
     void run();
-    void carryOut(const Decisions::ClaimAction &action);
+    void execute(const Decisions::ClaimAction &action);
 
     Store::TableService &m_table;
     EventLoop::Loop &m_loop;
-    Decisions::ClaimLedger m_ledger;
-    std::unordered_map<Decisions::ClaimId, DecidedCallback> m_callbacks;
+    Decisions::ClaimRegistry m_registry;
+    std::unordered_map<Decisions::ClaimId, ResultCallback> m_callbacks;
     EventLoop::Timer m_timer;
     EventLoop::DeferredCall m_run;
     std::shared_ptr<bool> m_alive;
--- a/src/libs/control/claimsweeptask.cpp
+++ b/src/libs/control/claimsweeptask.cpp
@@ -9,7 +9,7 @@
 namespace {
 
 // Every router waits for this lease, and it does not matter when exactly it passes on.
-constexpr LeaseOptions leaseOptions{.longestRetryInterval = std::chrono::minutes(5)};
+constexpr LeaseOptions leaseOptions{.maximumRetryInterval = std::chrono::minutes(5)};
 
 } // namespace
 
@@ -20,14 +20,14 @@
     , m_sweeper(options)
     , m_timer(loop, [this] { run(); })
     , m_alive(std::make_shared<bool>(true))
-    , m_lease(table, loop, LeaseKeeper::namedLease(leaseOptions, "claim-sweep", owner, seed), [this] { noteLeaseChange(); })
+    , m_lease(table, loop, LeaseManager::namedLease(leaseOptions, "claim-sweep", owner, seed), [this] { handleLeaseChange(); })
 {
     m_lease.setWanted(true);
 }
 
 ClaimSweepTask::~ClaimSweepTask() = default;
 
-void ClaimSweepTask::noteLeaseChange()
+void ClaimSweepTask::handleLeaseChange()
 {
     if (m_lease.lease().isHeld(m_loop.now())) {
         m_sweeper.restart();
@@ -41,33 +41,33 @@
         return;
     }
     if (const auto action = m_sweeper.advance(m_loop.now())) {
-        carryOut(*action);
+        execute(*action);
     } else if (const auto next = m_sweeper.nextDeadline()) {
         m_timer.startAt(*next);
     }
 }
 
-void ClaimSweepTask::carryOut(const SweepAction &action)
+void ClaimSweepTask::execute(const SweepAction &action)
 {
     const std::weak_ptr<bool> alive = m_alive;
     if (const auto *cursor = std::get_if<ReadSweepCursor>(&action)) {
         m_table.get({ClaimSweeper::cursorRow}, cursor->deadline, [this, alive](const auto &rows) {
             if (!alive.expired()) {
-                m_sweeper.takeCursor(rows, m_loop.now());
+                m_sweeper.handleCursor(rows, m_loop.now());
                 run();
             }
         });
     } else if (const auto *scan = std::get_if<ScanClaims>(&action)) {
         m_table.scan(ClaimSweeper::claimsPrefix, scan->sinceRevision, scan->limit, scan->deadline, [this, alive](const auto &rows) {
             if (!alive.expired()) {
-                m_sweeper.takePage(rows, {m_loop.now(), std::chrono::system_clock::now()});
+                m_sweeper.handlePage(rows, {m_loop.now(), std::chrono::system_clock::now()});
                 run();
             }
         });
     } else if (const auto *remove = std::get_if<RemoveClaims>(&action)) {
         m_table.commit(remove->writes, remove->deadline, [this, alive](const Store::CommitAnswer &answer) {
             if (!alive.expired()) {
-                m_sweeper.takeCommit(answer, m_loop.now());
+                m_sweeper.handleCommit(answer, m_loop.now());
                 run();
             }
         });
--- a/src/libs/control/claimsweeptask.h
+++ b/src/libs/control/claimsweeptask.h
@@ -1,6 +1,6 @@
 #pragma once
 
-#include "leasekeeper.h"
+#include "leasemanager.h"
 
 #include <decisions/control/claimsweeper.h>
 
@@ -18,16 +18,16 @@
     ~ClaimSweepTask();
 
 private:
-    void noteLeaseChange();
+    void handleLeaseChange();
     void run();
-    void carryOut(const Decisions::SweepAction &action);
+    void execute(const Decisions::SweepAction &action);
 
     Store::TableService &m_table;
     EventLoop::Loop &m_loop;
     Decisions::ClaimSweeper m_sweeper;
     EventLoop::Timer m_timer;
     std::shared_ptr<bool> m_alive;
-    LeaseKeeper m_lease;
+    LeaseManager m_lease;
 };
 
 } // namespace Verbena::Control
--- a/src/libs/control/hostlistpoller.cpp
+++ b/src/libs/control/hostlistpoller.cpp
@@ -7,7 +7,7 @@
 namespace {
 
 constexpr std::chrono::seconds fetchTimeout(2);
-constexpr Decisions::BackoffOptions retryOptions{.first = std::chrono::milliseconds(1'000), .longest = std::chrono::milliseconds(60'000)};
+constexpr Decisions::BackoffOptions retryOptions{.initialDelay = std::chrono::milliseconds(1'000), .maximumDelay = std::chrono::milliseconds(60'000)};
 
 } // namespace
 
@@ -32,13 +32,13 @@
     scheduleNext();
 }
 
-void HostListPoller::requestBy(Core::TimePoint moment)
+void HostListPoller::requestBy(Core::TimePoint time)
 {
-    m_poller.requestBy(moment);
+    m_poller.requestBy(time);
     scheduleNext();
 }
 
-void HostListPoller::noteHeard()
+void HostListPoller::recordPeerUpdate()
 {
     m_poller.noteHeard(m_loop.now());
     scheduleNext();
@@ -54,10 +54,10 @@
             return;
         }
         if (hosts) {
-            m_backoff.noteSuccess();
+            m_backoff.recordSuccess();
             m_received(hosts.value(), sentAt);
         } else {
-            m_backoff.noteFailure(m_loop.now());
+            m_backoff.recordFailure(m_loop.now());
             m_poller.noteFailed(m_loop.now());
             m_poller.requestBy(m_backoff.notBefore());
         }
--- a/src/libs/control/hostlistpoller.h
+++ b/src/libs/control/hostlistpoller.h
@@ -24,10 +24,10 @@
     void setProcessCount(std::size_t count);
 
     /// \brief Asks for a poll at \a moment at the latest.
-    void requestBy(Core::TimePoint moment);
+    void requestBy(Core::TimePoint time);
 
     /// \brief Notes that a peer passed the list on, so that this process need not poll for want of news.
-    void noteHeard();
+    void recordPeerUpdate();
 
 private:
     void poll();
--- a/src/libs/control/hostlisttask.cpp
+++ b/src/libs/control/hostlisttask.cpp
@@ -36,19 +36,19 @@
 HostListTask::HostListTask(Store::HostList &platform, EventLoop::Loop &loop, SettingsTree::PeerChannel &channel, const HostListTaskOptions &options)
     : m_loop(loop)
     , m_channel(channel)
-    , m_news(options.news, options.seed, loop.now())
+    , m_gossip(options.gossip, options.seed, loop.now())
     , m_timer(loop, [this] { advance(); })
     , m_poller(platform, loop, options.poller, options.seed + 1, [this](const auto &hosts, Core::TimePoint fetchedAt) { receiveList(hosts, fetchedAt); })
 {
     const double unit = 1. / std::chrono::duration<double>(options.startSpread).count();
-    m_poller.requestBy(Decisions::firstStoreRead(loop.now(), 1, 1, unit, options.seed + 2));
+    m_poller.requestBy(Decisions::firstStoreReadTime(loop.now(), 1, 1, unit, options.seed + 2));
 }
 
 HostListTask::~HostListTask() = default;
 
 void HostListTask::receiveFromPeer(const verbena::wire::Envelope &message)
 {
-    noteTaken(m_news.takeChanges(fromWire(message.host_news()), m_loop.now()));
+    handleUpdate(m_gossip.applyChanges(fromWire(message.host_news()), m_loop.now()));
 }
 
 bool HostListTask::isHostMessage(const verbena::wire::Envelope &message)
@@ -68,15 +68,15 @@
 
 std::vector<Store::HostEntry> HostListTask::hosts() const
 {
-    return m_news.hosts();
+    return m_gossip.hosts();
 }
 
 void HostListTask::receiveList(const std::vector<Store::HostEntry> &hosts, Core::TimePoint fetchedAt)
 {
-    noteTaken(m_news.takeList(hosts, fetchedAt, m_loop.now()));
+    handleUpdate(m_gossip.applyList(hosts, fetchedAt, m_loop.now()));
 }
 
-void HostListTask::noteTaken(bool isChanged)
+void HostListTask::handleUpdate(bool isChanged)
 {
     advance();
     if (isChanged && m_changedCallback) {
@@ -87,11 +87,11 @@
 void HostListTask::advance()
 {
     const Core::TimePoint now = m_loop.now();
-    for (const Decisions::SendHostChanges &message : m_news.advance(m_channel.peers(), now)) {
+    for (const Decisions::SendHostChanges &message : m_gossip.advance(m_channel.peers(), now)) {
         // A peer that cannot be reached costs one message of many; another is drawn next time.
         static_cast<void>(m_channel.sendToPeer(message.peer, toWire(message.changes)));
     }
-    if (const auto next = m_news.nextDeadline(now)) {
+    if (const auto next = m_gossip.nextDeadline(now)) {
         m_timer.startAt(*next);
     }
 }
--- a/src/libs/control/hostlisttask.h
+++ b/src/libs/control/hostlisttask.h
@@ -2,7 +2,7 @@
 
 #include "hostlistpoller.h"
 
-#include <decisions/control/hostnews.h>
+#include <decisions/control/hostgossip.h>
 #include <settingstree/peerchannel.h>
 
 #include <functional>
@@ -13,7 +13,7 @@
 /// \brief How a process keeps its copy of the host list.
 struct HostListTaskOptions
 {
-    Decisions::HostNewsOptions news;
+    Decisions::HostGossipOptions gossip;
     /// All processes of a deployment poll together at this rate; the rest is heard from peers.
     Decisions::FeedPollerOptions poller{.pollsPerSecond = 2,
         .minimumInterval = std::chrono::milliseconds(1'000),
@@ -47,11 +47,11 @@
 private:
     void receiveList(const std::vector<Store::HostEntry> &hosts, Core::TimePoint fetchedAt);
     void advance();
-    void noteTaken(bool isChanged);
+    void handleUpdate(bool isChanged);
 
     EventLoop::Loop &m_loop;
     SettingsTree::PeerChannel &m_channel;
-    Decisions::HostNews m_news;
+    Decisions::HostGossip m_gossip;
     std::function<void()> m_changedCallback;
     EventLoop::Timer m_timer;
     HostListPoller m_poller;
--- a/src/libs/control/leasekeeper.cpp
+++ b/src/libs/control/leasemanager.cpp
@@ -1,4 +1,4 @@
-#include "leasekeeper.h"
+#include "leasemanager.h"
 
 #include <eventloop/loop.h>
 
@@ -13,25 +13,25 @@
 
 } // namespace
 
-LeaseKeeper::LeaseKeeper(Store::TableService &table, EventLoop::Loop &loop, Lease lease, std::function<void()> changed)
+LeaseManager::LeaseManager(Store::TableService &table, EventLoop::Loop &loop, Lease lease, std::function<void()> changedCallback)
     : m_table(table)
     , m_loop(loop)
     , m_lease(std::move(lease))
-    , m_changed(std::move(changed))
+    , m_changedCallback(std::move(changedCallback))
     , m_timer(loop, [this] { run(); })
     , m_run(loop, [this] { run(); })
     , m_alive(std::make_shared<bool>(true))
 {
 }
 
-LeaseKeeper::~LeaseKeeper() = default;
+LeaseManager::~LeaseManager() = default;
 
-Lease LeaseKeeper::namedLease(const LeaseOptions &options, const std::string &name, const std::string &owner, std::uint64_t seed)
+Lease LeaseManager::namedLease(const LeaseOptions &options, const std::string &name, const std::string &owner, std::uint64_t seed)
 {
     return {options, {"leases/" + name}, owner, seed};
 }
 
-Lease LeaseKeeper::weightPermit(const LeaseOptions &options, const std::string &owner, std::uint64_t seed)
+Lease LeaseManager::weightPermit(const LeaseOptions &options, const std::string &owner, std::uint64_t seed)
 {
     std::vector<std::string> rows;
     for (int i = 1; i <= weightPermitCount; ++i) {
@@ -40,28 +40,28 @@
     return {options, rows, owner, seed};
 }
 
-void LeaseKeeper::setWanted(bool isWanted)
+void LeaseManager::setWanted(bool isWanted)
 {
     m_lease.setWanted(isWanted);
     m_run.schedule();
 }
 
-const Lease &LeaseKeeper::lease() const
+const Lease &LeaseManager::lease() const
 {
     return m_lease;
 }
 
-ClockReading LeaseKeeper::reading() const
+ClockReading LeaseManager::reading() const
 {
     return {m_loop.now(), std::chrono::system_clock::now()};
 }
 
-void LeaseKeeper::run()
+void LeaseManager::run()
 {
     const auto action = m_lease.advance(reading());
-    noteChange();
+    notifyIfChanged();
     if (action) {
-        carryOut(*action);
+        execute(*action);
         return;
     }
     const auto next = m_lease.nextDeadline();
@@ -72,7 +72,7 @@
     }
 }
 
-void LeaseKeeper::carryOut(const LeaseAction &action)
+void LeaseManager::execute(const LeaseAction &action)
 {
     const std::weak_ptr<bool> alive = m_alive;
     if (const auto *read = std::get_if<LeaseRead>(&action)) {
@@ -92,12 +92,12 @@
     }
 }
 
-void LeaseKeeper::noteChange()
+void LeaseManager::notifyIfChanged()
 {
     const bool isHeld = m_lease.isHeld(m_loop.now());
     if (isHeld != m_wasHeld) {
         m_wasHeld = isHeld;
-        m_changed();
+        m_changedCallback();
     }
 }
 
--- a/src/libs/control/leasekeeper.h
+++ b/src/libs/control/leasemanager.h
@@ -10,12 +10,12 @@
 namespace Verbena::Control {
 
 /// \brief Acquires, renews and gives back one lease in the platform's table; drives a Lease on an event loop.
-class LeaseKeeper
+class LeaseManager
 {
 public:
     /// \brief Uses \a table, which has to live longer. \a changed is called from the loop when lease() may say something else.
-    LeaseKeeper(Store::TableService &table, EventLoop::Loop &loop, Decisions::Lease lease, std::function<void()> changed);
-    ~LeaseKeeper();
+    LeaseManager(Store::TableService &table, EventLoop::Loop &loop, Decisions::Lease lease, std::function<void()> changedCallback);
+    ~LeaseManager();
 
     /// \brief The lease "leases/<name>".
     static Decisions::Lease namedLease(const Decisions::LeaseOptions &options, const std::string &name, const std::string &owner, std::uint64_t seed);
@@ -31,13 +31,13 @@
 private:
     Decisions::ClockReading reading() const;
     void run();
-    void carryOut(const Decisions::LeaseAction &action);
-    void noteChange();
+    void execute(const Decisions::LeaseAction &action);
+    void notifyIfChanged();
 
     Store::TableService &m_table;
     EventLoop::Loop &m_loop;
     Decisions::Lease m_lease;
-    std::function<void()> m_changed;
+    std::function<void()> m_changedCallback;
     bool m_wasHeld = false;
     EventLoop::Timer m_timer;
     EventLoop::DeferredCall m_run;
--- a/src/libs/control/tableclaimservice.cpp
+++ b/src/libs/control/tableclaimservice.cpp
@@ -13,7 +13,7 @@
 
 TableClaimService::TableClaimService(
     Store::TableService &table, EventLoop::Loop &loop, const ClaimOptions &options, const std::string &owner, std::uint64_t seed)
-    : m_keeper(table, loop, options, owner, seed)
+    : m_manager(table, loop, options, owner, seed)
 {
 }
 
@@ -22,7 +22,7 @@
     const ClaimRequest request{claim.organisation, claim.team, claim.key, 0, deadline};
     // The result comes from the loop, when the id is known.
     auto id = std::make_shared<ClaimId>();
-    *id = m_keeper.claim(
+    *id = m_manager.claim(
         request, [this, id, name = claim.request, done = std::move(done)](const ClaimResult &result) { receiveResult(name, *id, result, done); });
 }
 
@@ -31,8 +31,8 @@
     switch (result.verdict) {
     case ClaimVerdict::Granted:
         // The process may have slept since the claim was written.
-        if (!m_keeper.mayDispatch(id)) {
-            m_keeper.release(id);
+        if (!m_manager.mayDispatch(id)) {
+            m_manager.release(id);
             done({Router::ClaimOutcome::Unavailable, RunState::Unknown});
             return;
         }
@@ -56,13 +56,13 @@
     }
     switch (run) {
     case RunState::Run:
-        m_keeper.recordOutcome(granted.mapped(), {ranStatus, {}, {}});
+        m_manager.recordOutcome(granted.mapped(), {ranStatus, {}, {}});
         return;
     case RunState::NotRun:
-        m_keeper.release(granted.mapped());
+        m_manager.release(granted.mapped());
         return;
     case RunState::Unknown:
-        m_keeper.abandon(granted.mapped());
+        m_manager.abandon(granted.mapped());
         return;
     }
 }
--- a/src/libs/control/tableclaimservice.h
+++ b/src/libs/control/tableclaimservice.h
@@ -1,6 +1,6 @@
 #pragma once
 
-#include "claimkeeper.h"
+#include "claimmanager.h"
 
 #include <router/claimservice.h>
 
@@ -22,7 +22,7 @@
 private:
     void receiveResult(const std::string &request, Decisions::ClaimId id, const Decisions::ClaimResult &result, const Callback &done);
 
-    ClaimKeeper m_keeper;
+    ClaimManager m_manager;
     std::unordered_map<std::string, Decisions::ClaimId> m_granted; ///< By id of the request.
 };
 
--- a/src/libs/decisions/control/backoff.cpp
+++ b/src/libs/decisions/control/backoff.cpp
@@ -10,22 +10,22 @@
 {
 }
 
-void Backoff::noteSuccess()
+void Backoff::recordSuccess()
 {
     m_failures = 0;
     m_notBefore = {};
 }
 
-void Backoff::noteFailure(Core::TimePoint now)
+void Backoff::recordFailure(Core::TimePoint now)
 {
-    std::chrono::milliseconds bound = m_options.first;
-    for (std::uint32_t i = 0; i < m_failures && bound < m_options.longest; ++i) {
+    std::chrono::milliseconds bound = m_options.initialDelay;
+    for (std::uint32_t i = 0; i < m_failures && bound < m_options.maximumDelay; ++i) {
         bound *= 2;
     }
     ++m_failures;
     // Full jitter: callers that failed together come back spread over the whole span.
-    const std::chrono::duration<double, std::milli> span = std::min(bound, m_options.longest) * m_random.uniform();
-    m_notBefore = now + std::chrono::duration_cast<Core::Clock::duration>(span);
+    const std::chrono::duration<double, std::milli> delay = std::min(bound, m_options.maximumDelay) * m_random.uniform();
+    m_notBefore = now + std::chrono::duration_cast<Core::Clock::duration>(delay);
 }
 
 Core::TimePoint Backoff::notBefore() const
@@ -33,10 +33,10 @@
     return m_notBefore;
 }
 
-Core::TimePoint firstStoreRead(Core::TimePoint start, std::size_t processCount, std::uint32_t readsPerStart, double readsPerSecond, std::uint64_t seed)
+Core::TimePoint firstStoreReadTime(Core::TimePoint start, std::size_t processCount, std::uint32_t readsPerStart, double readsPerSecond, std::uint64_t seed)
 {
-    const std::chrono::duration<double> span(static_cast<double>(processCount) * readsPerStart / readsPerSecond);
-    return start + std::chrono::duration_cast<Core::Clock::duration>(span * RandomSource(seed).uniform());
+    const std::chrono::duration<double> window(static_cast<double>(processCount) * readsPerStart / readsPerSecond);
+    return start + std::chrono::duration_cast<Core::Clock::duration>(window * RandomSource(seed).uniform());
 }
 
 } // namespace Verbena::Decisions
--- a/src/libs/decisions/control/backoff.h
+++ b/src/libs/decisions/control/backoff.h
@@ -11,8 +11,8 @@
 /// \brief How long a caller stays away after failures.
 struct BackoffOptions
 {
-    std::chrono::milliseconds first{100}; ///< Upper bound after one failure; doubles with each further one.
-    std::chrono::milliseconds longest{10'000};
+    std::chrono::milliseconds initialDelay{100}; ///< Upper bound after one failure; doubles with each further one.
+    std::chrono::milliseconds maximumDelay{10'000};
 };
 
 /// \brief Keeps a caller away from a service that fails, by exponential backoff with full jitter.
@@ -21,8 +21,8 @@
 public:
     Backoff(const BackoffOptions &options, std::uint64_t seed);
 
-    void noteSuccess();
-    void noteFailure(Core::TimePoint now);
+    void recordSuccess();
+    void recordFailure(Core::TimePoint now);
 
     /// \brief Before this moment nothing should be sent.
     Core::TimePoint notBefore() const;
@@ -37,6 +37,6 @@
 /// \brief When a starting process first reads the store, if \a processCount may start at once.
 ///
 /// The moment is drawn so that together they stay below \a readsPerSecond, each reading \a readsPerStart times.
-Core::TimePoint firstStoreRead(Core::TimePoint start, std::size_t processCount, std::uint32_t readsPerStart, double readsPerSecond, std::uint64_t seed);
+Core::TimePoint firstStoreReadTime(Core::TimePoint start, std::size_t processCount, std::uint32_t readsPerStart, double readsPerSecond, std::uint64_t seed);
 
 } // namespace Verbena::Decisions
--- a/src/libs/decisions/control/claimrecord.cpp
+++ b/src/libs/decisions/control/claimrecord.cpp
@@ -16,13 +16,13 @@
 constexpr std::size_t claimedLines = 4;
 constexpr std::size_t doneLines = 6;
 
-Core::Error unreadable()
+Core::Error invalidRowError()
 {
     return {Core::ErrorCode::InvalidArgument, "claims.decode", "", "The row does not hold a claim."};
 }
 
 template<typename T>
-std::optional<T> numberOf(const std::string &text)
+std::optional<T> parseNumber(const std::string &text)
 {
     T number{};
     const auto [end, error] = std::from_chars(text.data(), text.data() + text.size(), number);
@@ -64,21 +64,21 @@
 {
     const std::vector<std::string> lines = splitLines(text, claimedLines);
     if (lines.size() <= claimedLines) {
-        return unreadable();
+        return invalidRowError();
     }
-    const auto hash = numberOf<std::uint64_t>(lines[1]);
-    const auto seconds = numberOf<std::int64_t>(lines[2]);
+    const auto hash = parseNumber<std::uint64_t>(lines[1]);
+    const auto seconds = parseNumber<std::int64_t>(lines[2]);
     if (!hash || !seconds || (lines[3] != claimedState && lines[3] != doneState)) {
-        return unreadable();
+        return invalidRowError();
     }
     ClaimRecord record{lines[0], *hash, Core::WallTime(std::chrono::seconds(*seconds)), std::nullopt};
     if (lines[3] == claimedState) {
         return record;
     }
     const std::vector<std::string> all = splitLines(text, doneLines);
-    const auto status = all.size() > doneLines ? numberOf<int>(all[claimedLines]) : std::nullopt;
+    const auto status = all.size() > doneLines ? parseNumber<int>(all[claimedLines]) : std::nullopt;
     if (!status) {
-        return unreadable();
+        return invalidRowError();
     }
     record.outcome = ClaimOutcome{*status, all[claimedLines + 1], all[doneLines]};
     return record;
--- a/src/libs/decisions/control/claimledger.cpp
+++ b/src/libs/decisions/control/claimregistry.cpp
@@ -1,10 +1,10 @@
-#include "claimledger.h"
+#include "claimregistry.h"
 
 #include <algorithm>
 
 namespace Verbena::Decisions {
 
-ClaimLedger::ClaimLedger(const ClaimOptions &options, std::string owner, std::uint64_t seed, Core::TimePoint now)
+ClaimRegistry::ClaimRegistry(const ClaimOptions &options, std::string owner, std::uint64_t seed, Core::TimePoint now)
     : m_options(options)
     , m_owner(std::move(owner))
     , m_random(seed)
@@ -15,12 +15,12 @@
 {
 }
 
-ClaimId ClaimLedger::claim(const ClaimRequest &request, const ClockReading &reading)
+ClaimId ClaimRegistry::claim(const ClaimRequest &request, const ClockReading &reading)
 {
     const ClaimId id{++m_lastId};
     const std::string rowKey = claimRowKey(request.organisation, request.team, request.idempotencyKey);
     if (const auto known = localResult(rowKey, request.requestHash)) {
-        decide(id, *known);
+        reportResult(id, *known);
         return id;
     }
     Claim claim;
@@ -29,20 +29,20 @@
     claim.record.token = m_owner + "." + std::to_string(m_random.next()) + "." + std::to_string(m_lastId);
     claim.record.requestHash = request.requestHash;
     claim.record.expiry = reading.wall + m_options.lifetime;
-    claim.deadline = std::min(request.deadline, reading.now + m_options.patience);
-    claim.dispatchBy = std::min(request.deadline, reading.now + m_options.dispatchSpan);
+    claim.deadline = std::min(request.deadline, reading.now + m_options.decisionTimeout);
+    claim.dispatchBy = std::min(request.deadline, reading.now + m_options.dispatchWindow);
     m_deadlines.emplace(claim.deadline, id);
-    m_byRow.emplace(rowKey, id);
+    m_idsByRow.emplace(rowKey, id);
     m_claims.emplace(id, std::move(claim));
     m_waiting.push_back(id);
     return id;
 }
 
 // What this process knows by itself spares the table.
-std::optional<ClaimResult> ClaimLedger::localResult(const std::string &rowKey, std::uint64_t requestHash) const
+std::optional<ClaimResult> ClaimRegistry::localResult(const std::string &rowKey, std::uint64_t requestHash) const
 {
-    const auto same = m_byRow.find(rowKey);
-    if (same != m_byRow.end()) {
+    const auto same = m_idsByRow.find(rowKey);
+    if (same != m_idsByRow.end()) {
         return ClaimResult::duplicate(m_claims.at(same->second).record, requestHash);
     }
     if (!m_updates.contains(rowKey)) {
@@ -56,13 +56,13 @@
     return record ? ClaimResult::duplicate(record.value(), requestHash) : ClaimResult{};
 }
 
-bool ClaimLedger::mayDispatch(ClaimId id, Core::TimePoint now) const
+bool ClaimRegistry::mayDispatch(ClaimId id, Core::TimePoint now) const
 {
     const Claim *claim = findGranted(id);
     return claim != nullptr && now < claim->dispatchBy;
 }
 
-void ClaimLedger::recordOutcome(ClaimId id, const ClaimOutcome &outcome, Core::TimePoint now)
+void ClaimRegistry::recordOutcome(ClaimId id, const ClaimOutcome &outcome, Core::TimePoint now)
 {
     const Claim *claim = findGranted(id);
     if (claim == nullptr) {
@@ -70,28 +70,28 @@
     }
     ClaimRecord record = claim->record;
     record.outcome = outcome;
-    m_updates.add({claim->rowKey, record.token, record.encode(), claim->expectedRevision, now + m_options.updatePatience});
-    forget(id);
+    m_updates.add({claim->rowKey, record.token, record.encode(), claim->expectedRevision, now + m_options.updateTimeout});
+    remove(id);
 }
 
-void ClaimLedger::release(ClaimId id, Core::TimePoint now)
+void ClaimRegistry::release(ClaimId id, Core::TimePoint now)
 {
     if (const Claim *claim = findGranted(id)) {
         withdraw(*claim, now);
-        forget(id);
+        remove(id);
     }
 }
 
-void ClaimLedger::abandon(ClaimId id)
+void ClaimRegistry::abandon(ClaimId id)
 {
     if (findGranted(id) != nullptr) {
-        forget(id);
+        remove(id);
     }
 }
 
-void ClaimLedger::handleCommit(OperationId id, const Store::CommitAnswer &answer, const ClockReading &reading)
+void ClaimRegistry::handleCommit(OperationId id, const Store::CommitAnswer &answer, const ClockReading &reading)
 {
-    noteReached(answer.outcome == Store::CommitOutcome::Committed || answer.outcome == Store::CommitOutcome::Conflict, reading.now);
+    recordReachability(answer.outcome == Store::CommitOutcome::Committed || answer.outcome == Store::CommitOutcome::Conflict, reading.now);
     if (m_updateCommit == id) {
         m_updateCommit.reset();
         m_updates.handleCommit(answer);
@@ -101,7 +101,7 @@
     }
 }
 
-void ClaimLedger::handleClaimCommit(const std::vector<ClaimId> &ids, const Store::CommitAnswer &answer, const ClockReading &reading)
+void ClaimRegistry::handleClaimCommit(const std::vector<ClaimId> &ids, const Store::CommitAnswer &answer, const ClockReading &reading)
 {
     if (answer.outcome == Store::CommitOutcome::Conflict) {
         handleConflict(ids, answer.current, reading);
@@ -132,7 +132,7 @@
 
 // One claim that was taken by somebody else fails its whole batch. Each round settles those that the table names, and
 // the innocent ones go again without them.
-void ClaimLedger::handleConflict(const std::vector<ClaimId> &ids, const std::vector<Store::TableRow> &current, const ClockReading &reading)
+void ClaimRegistry::handleConflict(const std::vector<ClaimId> &ids, const std::vector<Store::TableRow> &current, const ClockReading &reading)
 {
     bool isAnyNamed = false;
     for (auto id = ids.rbegin(); id != ids.rend(); ++id) {
@@ -143,7 +143,7 @@
         const Store::TableRow *row = findRow(current, claim->rowKey);
         if (row != nullptr) {
             isAnyNamed = true;
-            takeRow(*claim, row, reading);
+            applyRow(*claim, row, reading);
         } else {
             requeue(*claim, ids.size() == 1 ? Phase::Uncertain : Phase::Waiting);
         }
@@ -151,20 +151,20 @@
     m_batchLimit = isAnyNamed ? m_options.batchRows : std::max<std::size_t>(1, ids.size() / 2);
 }
 
-void ClaimLedger::handleRows(OperationId id, const Core::Result<std::vector<Store::TableRow>> &rows, const ClockReading &reading)
+void ClaimRegistry::handleRows(OperationId id, const Core::Result<std::vector<Store::TableRow>> &rows, const ClockReading &reading)
 {
     if (m_read != id) {
         return;
     }
     m_read.reset();
-    noteReached(rows.has_value(), reading.now);
+    recordReachability(rows.has_value(), reading.now);
     for (const ClaimId claimId : std::exchange(m_readIds, {})) {
         Claim *claim = find(claimId);
         if (claim == nullptr) {
             continue;
         }
         if (rows) {
-            takeRow(*claim, findRow(rows.value(), claim->rowKey), reading);
+            applyRow(*claim, findRow(rows.value(), claim->rowKey), reading);
         } else {
             requeue(*claim, Phase::Uncertain);
         }
@@ -172,7 +172,7 @@
 }
 
 // What the table shows of a claim: ours, somebody else's, or nothing that stands in its way.
-void ClaimLedger::takeRow(Claim &claim, const Store::TableRow *row, const ClockReading &reading)
+void ClaimRegistry::applyRow(Claim &claim, const Store::TableRow *row, const ClockReading &reading)
 {
     if (row == nullptr || row->isDeleted) {
         claim.expectedRevision = row == nullptr ? 0 : row->revision;
@@ -196,7 +196,7 @@
     finish(claim.id, ClaimResult::duplicate(record.value(), claim.record.requestHash));
 }
 
-void ClaimLedger::grant(Claim &claim, std::uint64_t revision, Core::TimePoint now)
+void ClaimRegistry::grant(Claim &claim, std::uint64_t revision, Core::TimePoint now)
 {
     claim.expectedRevision = revision;
     claim.mayBeWritten = true;
@@ -209,17 +209,17 @@
     ClaimResult result;
     result.verdict = ClaimVerdict::Granted;
     result.dispatchBy = claim.dispatchBy;
-    decide(claim.id, result);
+    reportResult(claim.id, result);
 }
 
-void ClaimLedger::withdraw(const Claim &claim, Core::TimePoint now)
+void ClaimRegistry::withdraw(const Claim &claim, Core::TimePoint now)
 {
-    m_updates.add({claim.rowKey, claim.record.token, std::nullopt, claim.expectedRevision, now + m_options.updatePatience});
+    m_updates.add({claim.rowKey, claim.record.token, std::nullopt, claim.expectedRevision, now + m_options.updateTimeout});
 }
 
-void ClaimLedger::advance(const ClockReading &reading)
+void ClaimRegistry::advance(const ClockReading &reading)
 {
-    giveUpLateClaims(reading.now);
+    expireClaims(reading.now);
     if (reading.now < m_backoff.notBefore()) {
         return;
     }
@@ -228,7 +228,7 @@
 }
 
 // Also those that nothing will be sent for before their deadline: there is no sense in letting their callers wait.
-void ClaimLedger::giveUpLateClaims(Core::TimePoint now)
+void ClaimRegistry::expireClaims(Core::TimePoint now)
 {
     const Core::TimePoint limit = std::max(now, m_backoff.notBefore());
     auto entry = m_deadlines.begin();
@@ -250,7 +250,7 @@
     }
 }
 
-void ClaimLedger::beginCommits(Core::TimePoint now)
+void ClaimRegistry::beginCommits(Core::TimePoint now)
 {
     // In turns, so that neither starves the other.
     const bool isUpdateFirst = !m_wasUpdateLast;
@@ -265,7 +265,7 @@
     }
 }
 
-bool ClaimLedger::beginClaimCommit(Core::TimePoint now)
+bool ClaimRegistry::beginClaimCommit(Core::TimePoint now)
 {
     if (m_claimCommit || m_waiting.empty() || m_writeBudget.nextFree(now) > now) {
         return false;
@@ -281,7 +281,7 @@
     return m_claimCommit.has_value();
 }
 
-bool ClaimLedger::beginUpdateCommit(Core::TimePoint now)
+bool ClaimRegistry::beginUpdateCommit(Core::TimePoint now)
 {
     if (m_updateCommit || !m_updates.isWaiting() || m_writeBudget.nextFree(now) > now) {
         return false;
@@ -291,18 +291,18 @@
     return m_updateCommit.has_value();
 }
 
-std::optional<OperationId> ClaimLedger::beginCommit(std::vector<Store::RowWrite> writes, Core::TimePoint now)
+std::optional<OperationId> ClaimRegistry::beginCommit(std::vector<Store::RowWrite> writes, Core::TimePoint now)
 {
     if (writes.empty()) {
         return std::nullopt;
     }
-    m_writeBudget.take(now);
+    m_writeBudget.tryConsume(now);
     const OperationId id = newOperation();
     m_actions.emplace_back(CommitRows{id, std::move(writes), now + m_options.operationTimeout});
     return id;
 }
 
-void ClaimLedger::beginRead(Core::TimePoint now)
+void ClaimRegistry::beginRead(Core::TimePoint now)
 {
     if (m_read || m_uncertain.empty() || m_readBudget.nextFree(now) > now) {
         return;
@@ -315,7 +315,7 @@
     if (read.keys.empty()) {
         return;
     }
-    m_readBudget.take(now);
+    m_readBudget.tryConsume(now);
     read.id = newOperation();
     read.deadline = now + m_options.operationTimeout;
     m_read = read.id;
@@ -323,7 +323,7 @@
 }
 
 // A queue may name claims that were decided meanwhile; they are passed over.
-std::vector<ClaimId> ClaimLedger::takeQueued(std::deque<ClaimId> &queue, Phase phase, Phase nextPhase, std::size_t limit)
+std::vector<ClaimId> ClaimRegistry::takeQueued(std::deque<ClaimId> &queue, Phase phase, Phase nextPhase, std::size_t limit)
 {
     std::vector<ClaimId> ids;
     while (!queue.empty() && ids.size() < limit) {
@@ -337,22 +337,22 @@
     return ids;
 }
 
-void ClaimLedger::requeue(Claim &claim, Phase phase)
+void ClaimRegistry::requeue(Claim &claim, Phase phase)
 {
     claim.phase = phase;
     (phase == Phase::Waiting ? m_waiting : m_uncertain).push_front(claim.id);
 }
 
-std::vector<ClaimAction> ClaimLedger::takeActions()
+std::vector<ClaimAction> ClaimRegistry::takeActions()
 {
     return std::exchange(m_actions, {});
 }
 
-std::optional<Core::TimePoint> ClaimLedger::nextDeadline(Core::TimePoint now) const
+std::optional<Core::TimePoint> ClaimRegistry::nextDeadline(Core::TimePoint now) const
 {
     std::optional<Core::TimePoint> next;
-    const auto consider = [&next](Core::TimePoint moment) {
-        next = next ? std::min(*next, moment) : moment;
+    const auto consider = [&next](Core::TimePoint time) {
+        next = next ? std::min(*next, time) : time;
     };
     if (!m_deadlines.empty()) {
         consider(m_deadlines.begin()->first);
@@ -368,46 +368,46 @@
     return next;
 }
 
-ClaimLedger::Claim *ClaimLedger::find(ClaimId id)
+ClaimRegistry::Claim *ClaimRegistry::find(ClaimId id)
 {
     const auto found = m_claims.find(id);
     return found == m_claims.end() ? nullptr : &found->second;
 }
 
-const ClaimLedger::Claim *ClaimLedger::findGranted(ClaimId id) const
+const ClaimRegistry::Claim *ClaimRegistry::findGranted(ClaimId id) const
 {
     const auto found = m_claims.find(id);
     return found != m_claims.end() && found->second.phase == Phase::Granted ? &found->second : nullptr;
 }
 
-void ClaimLedger::decide(ClaimId id, ClaimResult result)
+void ClaimRegistry::reportResult(ClaimId id, ClaimResult result)
 {
-    m_actions.emplace_back(ClaimDecided{id, std::move(result)});
+    m_actions.emplace_back(ReportClaimResult{id, std::move(result)});
 }
 
-void ClaimLedger::finish(ClaimId id, ClaimResult result)
+void ClaimRegistry::finish(ClaimId id, ClaimResult result)
 {
-    decide(id, std::move(result));
-    forget(id);
+    reportResult(id, std::move(result));
+    remove(id);
 }
 
-void ClaimLedger::forget(ClaimId id)
+void ClaimRegistry::remove(ClaimId id)
 {
     const auto found = m_claims.find(id);
-    m_byRow.erase(found->second.rowKey);
+    m_idsByRow.erase(found->second.rowKey);
     m_claims.erase(found);
 }
 
-void ClaimLedger::noteReached(bool isReached, Core::TimePoint now)
+void ClaimRegistry::recordReachability(bool isReached, Core::TimePoint now)
 {
     if (isReached) {
-        m_backoff.noteSuccess();
+        m_backoff.recordSuccess();
     } else {
-        m_backoff.noteFailure(now);
+        m_backoff.recordFailure(now);
     }
 }
 
-OperationId ClaimLedger::newOperation()
+OperationId ClaimRegistry::newOperation()
 {
     return OperationId{++m_lastOperation};
 }
--- a/src/libs/decisions/control/claimledger.h
+++ b/src/libs/decisions/control/claimregistry.h
@@ -15,11 +15,11 @@
 /// \brief Claims requests that may run at most once, by a conditional write before they are dispatched.
 ///
 /// Call advance() after every event and at nextDeadline(), and carry out what takeActions() gives.
-class ClaimLedger
+class ClaimRegistry
 {
 public:
     /// \brief \a owner names the process, \a seed has to differ between any two starts: both go into the tokens.
-    ClaimLedger(const ClaimOptions &options, std::string owner, std::uint64_t seed, Core::TimePoint now);
+    ClaimRegistry(const ClaimOptions &options, std::string owner, std::uint64_t seed, Core::TimePoint now);
 
     /// \brief Asks for a claim; ClaimDecided tells what became of it, once.
     ClaimId claim(const ClaimRequest &request, const ClockReading &reading);
@@ -71,15 +71,15 @@
 
     Claim *find(ClaimId id);
     const Claim *findGranted(ClaimId id) const;
-    void noteReached(bool isReached, Core::TimePoint now);
-    void decide(ClaimId id, ClaimResult result);
+    void recordReachability(bool isReached, Core::TimePoint now);
+    void reportResult(ClaimId id, ClaimResult result);
     void finish(ClaimId id, ClaimResult result);
-    void forget(ClaimId id);
+    void remove(ClaimId id);
     std::optional<ClaimResult> localResult(const std::string &rowKey, std::uint64_t requestHash) const;
     void withdraw(const Claim &claim, Core::TimePoint now);
-    void giveUpLateClaims(Core::TimePoint now);
+    void expireClaims(Core::TimePoint now);
     void grant(Claim &claim, std::uint64_t revision, Core::TimePoint now);
-    void takeRow(Claim &claim, const Store::TableRow *row, const ClockReading &reading);
+    void applyRow(Claim &claim, const Store::TableRow *row, const ClockReading &reading);
     void handleClaimCommit(const std::vector<ClaimId> &ids, const Store::CommitAnswer &answer, const ClockReading &reading);
     void handleConflict(const std::vector<ClaimId> &ids, const std::vector<Store::TableRow> &current, const ClockReading &reading);
     std::vector<ClaimId> takeQueued(std::deque<ClaimId> &queue, Phase phase, Phase nextPhase, std::size_t limit);
@@ -102,7 +102,7 @@
     std::size_t m_batchLimit;
     bool m_wasUpdateLast = false;
     std::map<ClaimId, Claim> m_claims;
-    std::unordered_map<std::string, ClaimId> m_byRow;
+    std::unordered_map<std::string, ClaimId> m_idsByRow;
     std::deque<ClaimId> m_waiting;
     std::deque<ClaimId> m_uncertain;
     std::multimap<Core::TimePoint, ClaimId> m_deadlines;
--- a/src/libs/decisions/control/claimsweeper.cpp
+++ b/src/libs/decisions/control/claimsweeper.cpp
@@ -11,10 +11,10 @@
 
 std::optional<SweepAction> ClaimSweeper::advance(Core::TimePoint now)
 {
-    if (m_isUnderWay || now < m_nextAction) {
+    if (m_isOperationPending || now < m_nextAction) {
         return std::nullopt;
     }
-    m_isUnderWay = true;
+    m_isOperationPending = true;
     const Core::TimePoint deadline = now + m_options.operationTimeout;
     if (!m_cursor) {
         return ReadSweepCursor{deadline};
@@ -28,7 +28,7 @@
     return ScanClaims{*m_cursor, m_options.pageRows, deadline};
 }
 
-void ClaimSweeper::takeCursor(const Core::Result<std::vector<Store::TableRow>> &rows, Core::TimePoint now)
+void ClaimSweeper::handleCursor(const Core::Result<std::vector<Store::TableRow>> &rows, Core::TimePoint now)
 {
     if (!rows) {
         finishStep(now + m_options.busyInterval);
@@ -46,7 +46,7 @@
     finishStep(now);
 }
 
-void ClaimSweeper::takePage(const Core::Result<std::vector<Store::TableRow>> &rows, const ClockReading &reading)
+void ClaimSweeper::handlePage(const Core::Result<std::vector<Store::TableRow>> &rows, const ClockReading &reading)
 {
     if (!rows || rows.value().empty()) {
         finishStep(reading.now + m_options.idleInterval);
@@ -73,7 +73,7 @@
     finishStep(isBusy ? reading.now : reading.now + (isEndReached ? m_options.idleInterval : m_options.busyInterval));
 }
 
-void ClaimSweeper::takeCommit(const Store::CommitAnswer &answer, Core::TimePoint now)
+void ClaimSweeper::handleCommit(const Store::CommitAnswer &answer, Core::TimePoint now)
 {
     if (answer.outcome == Store::CommitOutcome::Committed) {
         m_cursor = m_nextCursor;
@@ -93,12 +93,12 @@
 
 std::optional<Core::TimePoint> ClaimSweeper::nextDeadline() const
 {
-    return m_isUnderWay ? std::nullopt : std::optional(m_nextAction);
+    return m_isOperationPending ? std::nullopt : std::optional(m_nextAction);
 }
 
 void ClaimSweeper::finishStep(Core::TimePoint next)
 {
-    m_isUnderWay = false;
+    m_isOperationPending = false;
     m_nextAction = next;
 }
 
--- a/src/libs/decisions/control/claimsweeper.h
+++ b/src/libs/decisions/control/claimsweeper.h
@@ -59,9 +59,9 @@
     /// \brief The next operation, if one is due; there is at most one under way.
     std::optional<SweepAction> advance(Core::TimePoint now);
 
-    void takeCursor(const Core::Result<std::vector<Store::TableRow>> &rows, Core::TimePoint now);
-    void takePage(const Core::Result<std::vector<Store::TableRow>> &rows, const ClockReading &reading);
-    void takeCommit(const Store::CommitAnswer &answer, Core::TimePoint now);
+    void handleCursor(const Core::Result<std::vector<Store::TableRow>> &rows, Core::TimePoint now);
+    void handlePage(const Core::Result<std::vector<Store::TableRow>> &rows, const ClockReading &reading);
+    void handleCommit(const Store::CommitAnswer &answer, Core::TimePoint now);
 
     /// \brief Forgets what was read; for a process that got the lease anew.
     void restart();
@@ -73,7 +73,7 @@
     void finishStep(Core::TimePoint next);
 
     ClaimSweeperOptions m_options;
-    bool m_isUnderWay = false;
+    bool m_isOperationPending = false;
     std::optional<std::uint64_t> m_cursor; ///< All up to this revision is swept; nothing until it was read.
     std::optional<std::uint64_t> m_cursorRevision;
     std::uint64_t m_nextCursor = 0;
--- a/src/libs/decisions/control/claimtypes.h
+++ b/src/libs/decisions/control/claimtypes.h
@@ -65,23 +65,23 @@
 };
 
 /// \brief Tells what became of a claim.
-struct ClaimDecided
+struct ReportClaimResult
 {
     ClaimId id{};
     ClaimResult result;
 };
 
-using ClaimAction = std::variant<CommitRows, ReadRows, ClaimDecided>;
+using ClaimAction = std::variant<CommitRows, ReadRows, ReportClaimResult>;
 
 /// \brief Spans and bounds of a ledger.
 struct ClaimOptions
 {
-    std::chrono::milliseconds patience{3'000}; ///< A claim that is not decided by then is not claimed.
+    std::chrono::milliseconds decisionTimeout{3'000}; ///< A claim that is not decided by then is not claimed.
     std::chrono::milliseconds operationTimeout{1'000};
-    std::chrono::milliseconds dispatchSpan{30'000}; ///< From the claim to the latest dispatch.
+    std::chrono::milliseconds dispatchWindow{30'000}; ///< From the claim to the latest dispatch.
     std::chrono::hours lifetime{24}; ///< For so long a key cannot be used anew.
     std::chrono::minutes clockSkew{5}; ///< Between the wall clocks of any two hosts, at most.
-    std::chrono::milliseconds updatePatience{60'000}; ///< For so long outcomes and withdrawals are tried.
+    std::chrono::milliseconds updateTimeout{60'000}; ///< For so long outcomes and withdrawals are tried.
     double writesPerSecond = 20; ///< Commits of this process.
     double readsPerSecond = 20;
     std::size_t batchRows = 64; ///< Rows of one commit.
--- a/src/libs/decisions/control/claimupdates.cpp
+++ b/src/libs/decisions/control/claimupdates.cpp
@@ -35,7 +35,7 @@
             continue;
         }
         writes.push_back({update.rowKey, update.value, update.expectedRevision});
-        m_underWay.push_back(std::move(update));
+        m_committing.push_back(std::move(update));
     }
     return writes;
 }
@@ -43,7 +43,7 @@
 void ClaimUpdates::handleCommit(const Store::CommitAnswer &answer)
 {
     std::vector<Update> updates;
-    updates.swap(m_underWay);
+    updates.swap(m_committing);
     // From the back, so that what is put in front again keeps its order.
     for (auto update = updates.rbegin(); update != updates.rend(); ++update) {
         switch (answer.outcome) {
@@ -74,8 +74,8 @@
         return;
     }
     const auto record = ClaimRecord::decode(current->value);
-    const bool isOurs = !current->isDeleted && record && record.value().token == update.token;
-    if (isOurs && current->value != update.value) {
+    const bool isOwn = !current->isDeleted && record && record.value().token == update.token;
+    if (isOwn && current->value != update.value) {
         update.expectedRevision = current->revision;
         requeue(std::move(update));
         return;
--- a/src/libs/decisions/control/claimupdates.h
+++ b/src/libs/decisions/control/claimupdates.h
@@ -43,7 +43,7 @@
     void resolveConflict(Update update, const Store::TableRow *current);
 
     std::deque<Update> m_waiting;
-    std::vector<Update> m_underWay;
+    std::vector<Update> m_committing;
     std::unordered_map<std::string, std::optional<std::string>> m_values;
 };
 
--- a/src/libs/decisions/control/hostnews.h
+++ b/src/libs/decisions/control/hostgossip.h
@@ -31,7 +31,7 @@
 };
 
 /// \brief How changes of the host list are passed on.
-struct HostNewsOptions
+struct HostGossipOptions
 {
     std::size_t fanout = 4; ///< Peers that get a change at a time.
     std::uint32_t rounds = 2; ///< So often each process passes a change on.
@@ -46,16 +46,16 @@
 ///
 /// Changes merge in any order to the same result: the highest incarnation of a name counts, and one incarnation only goes from
 /// live to leaving to gone.
-class HostNews
+class HostGossip
 {
 public:
-    HostNews(const HostNewsOptions &options, std::uint64_t seed, Core::TimePoint now);
+    HostGossip(const HostGossipOptions &options, std::uint64_t seed, Core::TimePoint now);
 
     /// \brief Takes a list that this process fetched, having asked at \a fetchedAt. True if hosts() changed.
-    bool takeList(const std::vector<Store::HostEntry> &hosts, Core::TimePoint fetchedAt, Core::TimePoint now);
+    bool applyList(const std::vector<Store::HostEntry> &hosts, Core::TimePoint fetchedAt, Core::TimePoint now);
 
     /// \brief Takes what a peer passed on. True if hosts() changed.
-    bool takeChanges(const std::vector<HostChange> &changes, Core::TimePoint now);
+    bool applyChanges(const std::vector<HostChange> &changes, Core::TimePoint now);
 
     /// \brief True once a whole list was taken.
     bool isComplete() const;
@@ -70,30 +70,30 @@
     std::optional<Core::TimePoint> nextDeadline(Core::TimePoint now) const;
 
 private:
-    struct Known
+    struct Entry
     {
         HostChange change;
-        Core::TimePoint learnedAt;
+        Core::TimePoint recordedAt;
     };
 
-    struct Rumour
+    struct PendingUpdate
     {
         std::string name;
         std::uint32_t roundsLeft = 0;
     };
 
-    bool take(const HostChange &change, Core::TimePoint now);
-    static bool isNewer(const Known &known, const HostChange &change);
-    void spread(const std::string &name);
-    void forgetGone(Core::TimePoint now);
-    std::vector<HostChange> nextBatch();
+    bool apply(const HostChange &change, Core::TimePoint now);
+    static bool isNewer(const Entry &entry, const HostChange &change);
+    void queueUpdate(const std::string &name);
+    void evictGoneHosts(Core::TimePoint now);
+    std::vector<HostChange> takeBatch();
 
-    HostNewsOptions m_options;
+    HostGossipOptions m_options;
     RandomSource m_random;
     PushBudget m_budget;
     bool m_isComplete = false;
-    std::unordered_map<std::string, Known> m_hosts;
-    std::deque<Rumour> m_rumours;
+    std::unordered_map<std::string, Entry> m_hosts;
+    std::deque<PendingUpdate> m_pendingUpdates;
     Core::TimePoint m_nextRound;
 };
 
--- a/src/libs/decisions/control/lease.cpp
+++ b/src/libs/decisions/control/lease.cpp
@@ -9,7 +9,7 @@
 
 using std::chrono::milliseconds;
 
-Core::Error unreadable()
+Core::Error invalidRowError()
 {
     return {Core::ErrorCode::InvalidArgument, "leases.decode", "", "The row does not hold a lease."};
 }
@@ -29,11 +29,11 @@
     const char *end = text.data() + text.size();
     const auto number = std::from_chars(text.data(), end, record.fencingNumber);
     if (number.ec != std::errc() || number.ptr == end) {
-        return unreadable();
+        return invalidRowError();
     }
     const auto expiry = std::from_chars(number.ptr + 1, end, expiryCount);
     if (expiry.ec != std::errc() || expiry.ptr == end) {
-        return unreadable();
+        return invalidRowError();
     }
     record.expiry = Core::WallTime(milliseconds(expiryCount));
     record.token.assign(expiry.ptr + 1, end);
@@ -45,8 +45,8 @@
     , m_rows(std::move(rows))
     , m_owner(std::move(owner))
     , m_random(seed)
-    , m_backoff({.first = milliseconds(100), .longest = options.span / 4}, m_random.next())
-    , m_seen(m_rows.size())
+    , m_backoff({.initialDelay = milliseconds(100), .maximumDelay = options.duration / 4}, m_random.next())
+    , m_rowStates(m_rows.size())
 {
 }
 
@@ -60,28 +60,28 @@
 
 std::optional<LeaseAction> Lease::advance(const ClockReading &reading)
 {
-    if (m_isUnderWay || reading.now < m_nextAction || reading.now < m_backoff.notBefore()) {
+    if (m_isOperationPending || reading.now < m_nextAction || reading.now < m_backoff.notBefore()) {
         return std::nullopt;
     }
     if (m_held && reading.now >= m_held->heldUntil) {
-        lose();
+        markLost();
     }
     // What became of a write has to be known before anything else is written.
-    if (m_sent) {
+    if (m_pendingWrite) {
         return read(reading.now);
     }
     if (m_held) {
-        return m_isWanted ? renew(reading) : giveBack(reading.now);
+        return m_isWanted ? renew(reading) : release(reading.now);
     }
     if (!m_isWanted) {
         return std::nullopt;
     }
-    if (!std::exchange(m_isFresh, false)) {
+    if (!std::exchange(m_areRowsFresh, false)) {
         return read(reading.now);
     }
-    const auto row = drawLapsedRow(reading.wall);
+    const auto row = randomLapsedRow(reading.wall);
     if (row) {
-        return take(*row, reading);
+        return acquire(*row, reading);
     }
     retryLater(reading.now);
     return std::nullopt;
@@ -89,52 +89,52 @@
 
 void Lease::handleRows(const Core::Result<std::vector<Store::TableRow>> &rows, const ClockReading &reading)
 {
-    m_isUnderWay = false;
+    m_isOperationPending = false;
     if (!rows) {
-        m_backoff.noteFailure(reading.now);
+        m_backoff.recordFailure(reading.now);
         return;
     }
-    m_backoff.noteSuccess();
-    std::fill(m_seen.begin(), m_seen.end(), Seen());
+    m_backoff.recordSuccess();
+    std::fill(m_rowStates.begin(), m_rowStates.end(), RowState());
     for (const Store::TableRow &row : rows.value()) {
-        see(row);
+        applyRow(row);
     }
-    m_isFresh = true;
-    if (m_held && m_seen[m_held->row].record.token != m_held->record.token) {
-        lose();
+    m_areRowsFresh = true;
+    if (m_held && m_rowStates[m_held->row].record.token != m_held->record.token) {
+        markLost();
     }
-    if (m_sent) {
-        const Sent sent = *std::exchange(m_sent, std::nullopt);
-        const Seen &seen = m_seen[sent.row];
+    if (m_pendingWrite) {
+        const SentWrite sent = *std::exchange(m_pendingWrite, std::nullopt);
+        const RowState &state = m_rowStates[sent.row];
         // The expiry tells a write from earlier ones of the same tenure.
-        if (seen.record.token == sent.record.token && seen.record.expiry == sent.record.expiry && sent.purpose != Purpose::GiveBack) {
-            confirm(sent, seen.revision);
+        if (state.record.token == sent.record.token && state.record.expiry == sent.record.expiry && sent.operation != Operation::Release) {
+            confirm(sent, state.revision);
         }
     }
 }
 
 void Lease::handleCommit(const Store::CommitAnswer &answer, const ClockReading &reading)
 {
-    m_isUnderWay = false;
+    m_isOperationPending = false;
     switch (answer.outcome) {
     case Store::CommitOutcome::Committed:
-        m_backoff.noteSuccess();
-        confirm(*std::exchange(m_sent, std::nullopt), answer.revision);
+        m_backoff.recordSuccess();
+        confirm(*std::exchange(m_pendingWrite, std::nullopt), answer.revision);
         return;
     case Store::CommitOutcome::Conflict:
         // The next read tells whether an earlier write of ours or somebody else's stands in the way.
-        m_backoff.noteSuccess();
-        m_isFresh = false;
+        m_backoff.recordSuccess();
+        m_areRowsFresh = false;
         m_nextAction = {};
         return;
     case Store::CommitOutcome::Unknown:
-        m_backoff.noteFailure(reading.now);
+        m_backoff.recordFailure(reading.now);
         m_nextAction = {};
         return;
     case Store::CommitOutcome::NotSent:
-        m_backoff.noteFailure(reading.now);
-        m_sent.reset();
-        m_isFresh = false;
+        m_backoff.recordFailure(reading.now);
+        m_pendingWrite.reset();
+        m_areRowsFresh = false;
         m_nextAction = {};
         return;
     }
@@ -162,7 +162,7 @@
 
 std::optional<Core::TimePoint> Lease::nextDeadline() const
 {
-    if (m_isUnderWay || (!m_isWanted && !m_held && !m_sent)) {
+    if (m_isOperationPending || (!m_isWanted && !m_held && !m_pendingWrite)) {
         return std::nullopt;
     }
     return std::max(m_nextAction, m_backoff.notBefore());
@@ -175,25 +175,25 @@
 
 LeaseAction Lease::read(Core::TimePoint now)
 {
-    m_isUnderWay = true;
+    m_isOperationPending = true;
     return LeaseRead{m_rows, now + m_options.operationTimeout};
 }
 
-LeaseAction Lease::send(Sent sent, Core::TimePoint now)
+LeaseAction Lease::send(SentWrite sent, Core::TimePoint now)
 {
-    const LeaseWrite write{{m_rows[sent.row], sent.record.encode(), m_seen[sent.row].revision}, now + m_options.operationTimeout};
-    m_sent = std::move(sent);
-    m_isUnderWay = true;
+    const LeaseWrite write{{m_rows[sent.row], sent.record.encode(), m_rowStates[sent.row].revision}, now + m_options.operationTimeout};
+    m_pendingWrite = std::move(sent);
+    m_isOperationPending = true;
     return write;
 }
 
-LeaseAction Lease::take(std::size_t row, const ClockReading &reading)
+LeaseAction Lease::acquire(std::size_t row, const ClockReading &reading)
 {
     LeaseRecord record;
     record.fencingNumber = nextFencingNumber();
-    record.expiry = std::chrono::floor<milliseconds>(reading.wall + m_options.span);
+    record.expiry = std::chrono::floor<milliseconds>(reading.wall + m_options.duration);
     record.token = m_owner + "." + std::to_string(m_random.next());
-    return send({row, Purpose::Take, record, reading.now + m_options.span}, reading.now);
+    return send({row, Operation::Acquire, record, reading.now + m_options.duration}, reading.now);
 }
 
 // No number is above the revision of its own commit, so the next one after any of the revisions is above all numbers given
@@ -201,8 +201,8 @@
 std::uint64_t Lease::nextFencingNumber() const
 {
     std::uint64_t highest = 0;
-    for (const Seen &seen : m_seen) {
-        highest = std::max({highest, seen.revision, seen.record.fencingNumber});
+    for (const RowState &state : m_rowStates) {
+        highest = std::max({highest, state.revision, state.record.fencingNumber});
     }
     return highest + 1;
 }
@@ -211,55 +211,55 @@
 {
     LeaseRecord record = m_held->record;
     // It differs from that of every earlier write of the tenure, so that a read tells them apart.
-    record.expiry = std::max<Core::WallTime>(record.expiry + milliseconds(1), std::chrono::floor<milliseconds>(reading.wall + m_options.span));
-    return send({m_held->row, Purpose::Renew, record, reading.now + m_options.span}, reading.now);
+    record.expiry = std::max<Core::WallTime>(record.expiry + milliseconds(1), std::chrono::floor<milliseconds>(reading.wall + m_options.duration));
+    return send({m_held->row, Operation::Renew, record, reading.now + m_options.duration}, reading.now);
 }
 
-LeaseAction Lease::giveBack(Core::TimePoint now)
+LeaseAction Lease::release(Core::TimePoint now)
 {
     LeaseRecord record;
     record.fencingNumber = m_held->record.fencingNumber;
-    const Sent sent{m_held->row, Purpose::GiveBack, record, {}};
+    const SentWrite sent{m_held->row, Operation::Release, record, {}};
     // From here on nothing may be done under the lease, whatever becomes of the write.
     m_held.reset();
     return send(sent, now);
 }
 
-void Lease::see(const Store::TableRow &row)
+void Lease::applyRow(const Store::TableRow &row)
 {
     const auto index = std::find(m_rows.begin(), m_rows.end(), row.key) - m_rows.begin();
     if (static_cast<std::size_t>(index) == m_rows.size()) {
         return;
     }
     const auto record = LeaseRecord::decode(row.value);
-    m_seen[index] = {row.revision, record ? record.value() : LeaseRecord()};
+    m_rowStates[index] = {row.revision, record ? record.value() : LeaseRecord()};
 }
 
-void Lease::confirm(const Sent &sent, std::uint64_t revision)
+void Lease::confirm(const SentWrite &sent, std::uint64_t revision)
 {
-    m_seen[sent.row] = {revision, sent.record};
-    if (sent.purpose == Purpose::GiveBack) {
+    m_rowStates[sent.row] = {revision, sent.record};
+    if (sent.operation == Operation::Release) {
         return;
     }
     m_held = sent;
-    m_looks = 0;
-    const Core::TimePoint sentAt = sent.heldUntil - m_options.span;
+    m_unsuccessfulReads = 0;
+    const Core::TimePoint sentAt = sent.heldUntil - m_options.duration;
     m_nextAction = sentAt + m_options.renewalInterval;
 }
 
-void Lease::lose()
+void Lease::markLost()
 {
     m_held.reset();
-    m_isFresh = false;
+    m_areRowsFresh = false;
     m_nextAction = {};
 }
 
-std::optional<std::size_t> Lease::drawLapsedRow(Core::WallTime wall)
+std::optional<std::size_t> Lease::randomLapsedRow(Core::WallTime wall)
 {
     const std::size_t count = m_rows.size();
     std::vector<std::size_t> lapsed;
     for (std::size_t i = 0; i < count; ++i) {
-        if (isLapsed(m_seen[i].record, wall)) {
+        if (isLapsed(m_rowStates[i].record, wall)) {
             lapsed.push_back(i);
         }
     }
@@ -274,12 +274,12 @@
 {
     // Thousands may wait for few permits; the longer they have waited, the less often each of them looks.
     milliseconds bound = m_options.retryInterval;
-    for (std::uint32_t i = 0; i < m_looks && bound < m_options.longestRetryInterval; ++i) {
+    for (std::uint32_t i = 0; i < m_unsuccessfulReads && bound < m_options.maximumRetryInterval; ++i) {
         bound *= 2;
     }
-    ++m_looks;
-    const std::chrono::duration<double, std::milli> span = std::min(bound, m_options.longestRetryInterval) * (0.5 + m_random.uniform());
-    m_nextAction = now + std::chrono::duration_cast<Core::Clock::duration>(span);
+    ++m_unsuccessfulReads;
+    const std::chrono::duration<double, std::milli> delay = std::min(bound, m_options.maximumRetryInterval) * (0.5 + m_random.uniform());
+    m_nextAction = now + std::chrono::duration_cast<Core::Clock::duration>(delay);
 }
 
 } // namespace Verbena::Decisions
--- a/src/libs/decisions/control/lease.h
+++ b/src/libs/decisions/control/lease.h
@@ -28,11 +28,11 @@
 /// \brief Spans of a lease.
 struct LeaseOptions
 {
-    std::chrono::milliseconds span{10'000}; ///< From the sending of an acquisition or renewal to its end.
+    std::chrono::milliseconds duration{10'000}; ///< From the sending of an acquisition or renewal to its end.
     std::chrono::milliseconds renewalInterval{3'000};
     std::chrono::milliseconds clockSkew{2'000}; ///< Between the wall clocks of any two hosts, at most.
     std::chrono::milliseconds retryInterval{1'000}; ///< Mean between the first two looks at a lease that others hold; doubles.
-    std::chrono::milliseconds longestRetryInterval{30'000};
+    std::chrono::milliseconds maximumRetryInterval{30'000};
     std::chrono::milliseconds operationTimeout{1'000};
 };
 
@@ -86,17 +86,17 @@
     std::optional<Core::TimePoint> nextDeadline() const;
 
 private:
-    enum class Purpose { Take, Renew, GiveBack };
+    enum class Operation { Acquire, Renew, Release };
 
-    struct Sent
+    struct SentWrite
     {
         std::size_t row = 0;
-        Purpose purpose = Purpose::Take;
+        Operation operation = Operation::Acquire;
         LeaseRecord record;
         Core::TimePoint heldUntil;
     };
 
-    struct Seen
+    struct RowState
     {
         std::uint64_t revision = 0;
         LeaseRecord record;
@@ -104,15 +104,15 @@
 
     bool isLapsed(const LeaseRecord &record, Core::WallTime wall) const;
     LeaseAction read(Core::TimePoint now);
-    LeaseAction send(Sent sent, Core::TimePoint now);
-    LeaseAction take(std::size_t row, const ClockReading &reading);
+    LeaseAction send(SentWrite sent, Core::TimePoint now);
+    LeaseAction acquire(std::size_t row, const ClockReading &reading);
     LeaseAction renew(const ClockReading &reading);
-    LeaseAction giveBack(Core::TimePoint now);
-    void see(const Store::TableRow &row);
-    void confirm(const Sent &sent, std::uint64_t revision);
-    void lose();
+    LeaseAction release(Core::TimePoint now);
+    void applyRow(const Store::TableRow &row);
+    void confirm(const SentWrite &sent, std::uint64_t revision);
+    void markLost();
     std::uint64_t nextFencingNumber() const;
-    std::optional<std::size_t> drawLapsedRow(Core::WallTime wall);
+    std::optional<std::size_t> randomLapsedRow(Core::WallTime wall);
     void retryLater(Core::TimePoint now);
 
     LeaseOptions m_options;
@@ -121,12 +121,12 @@
     RandomSource m_random;
     Backoff m_backoff;
     bool m_isWanted = false;
-    bool m_isUnderWay = false;
-    bool m_isFresh = false; ///< m_seen was read just now.
-    std::vector<Seen> m_seen;
-    std::optional<Sent> m_sent; ///< A write whose outcome is not known yet.
-    std::optional<Sent> m_held;
-    std::uint32_t m_looks = 0; ///< At rows that others held, since the lease was wanted.
+    bool m_isOperationPending = false;
+    bool m_areRowsFresh = false; ///< m_seen was read just now.
+    std::vector<RowState> m_rowStates;
+    std::optional<SentWrite> m_pendingWrite; ///< A write whose outcome is not known yet.
+    std::optional<SentWrite> m_held;
+    std::uint32_t m_unsuccessfulReads = 0; ///< At rows that others held, since the lease was wanted.
     Core::TimePoint m_nextAction;
 };
 
--- a/src/libs/decisions/control/membership.cpp
+++ b/src/libs/decisions/control/membership.cpp
@@ -52,26 +52,26 @@
         if (entry == entries.end()) {
             member.isListed = false;
         } else {
-            takeEntry(member, *entry->second);
+            applyEntry(member, *entry->second);
         }
         updateState(member);
     }
 }
 
-void Membership::noteReply(BackendServerId id, std::uint64_t incarnation, bool isLeaving, Core::TimePoint now)
+void Membership::recordReply(BackendServerId id, std::uint64_t incarnation, bool isLeaving, Core::TimePoint now)
 {
     const auto found = m_members.find(id);
-    if (found == m_members.end() || !takeIncarnation(found->second, incarnation, now)) {
+    if (found == m_members.end() || !updateIncarnation(found->second, incarnation, now)) {
         return;
     }
     Member &member = found->second;
     member.lastReply = now;
-    member.isLeavingBySelf = isLeaving;
+    member.isLeavingByReply = isLeaving;
     resetSuspicion(member);
     updateState(member);
 }
 
-void Membership::noteTimeout(BackendServerId id, Core::TimePoint now)
+void Membership::recordTimeout(BackendServerId id, Core::TimePoint now)
 {
     const auto found = m_members.find(id);
     // Requests that were under way when the suspicion began say nothing new.
@@ -84,12 +84,12 @@
         return;
     }
     // After the first suspicion one further timeout is enough for the next: the server has not answered since.
-    std::chrono::milliseconds span = m_limits.firstSuspicion;
-    for (std::uint32_t i = 0; i < member.suspicions && span < m_limits.longestSuspicion; ++i) {
-        span *= 2;
+    std::chrono::milliseconds duration = m_limits.initialSuspicion;
+    for (std::uint32_t i = 0; i < member.suspicions && duration < m_limits.maximumSuspicion; ++i) {
+        duration *= 2;
     }
     ++member.suspicions;
-    member.skipUntil = now + std::min(span, m_limits.longestSuspicion);
+    member.skipUntil = now + std::min(duration, m_limits.maximumSuspicion);
 }
 
 std::vector<BackendServer> Membership::fleet() const
@@ -137,7 +137,7 @@
         const bool isAnswering = member.lastReply && m_listFetchedAt && *member.lastReply > *m_listFetchedAt;
         return isAnswering ? BackendServerState::Leaving : BackendServerState::Dead;
     }
-    const bool isLeaving = member.isDrained || member.isLeavingBySelf || member.isLeavingByList;
+    const bool isLeaving = member.isDrained || member.isLeavingByReply || member.isLeavingByList;
     return isLeaving ? BackendServerState::Leaving : BackendServerState::Live;
 }
 
@@ -152,7 +152,7 @@
 
 // False for a late reply of an agent that was replaced. Old numbers are not kept for ever: a wrong order of two replies must not
 // shut out an agent that lives.
-bool Membership::takeIncarnation(Member &member, std::uint64_t incarnation, Core::TimePoint now)
+bool Membership::updateIncarnation(Member &member, std::uint64_t incarnation, Core::TimePoint now)
 {
     if (incarnation == 0 || incarnation == member.incarnation) {
         return true;
@@ -165,20 +165,20 @@
         return false;
     }
     if (member.incarnation != 0) {
-        member.pastIncarnations.push_back({member.incarnation, now + m_limits.lateReplies});
+        member.pastIncarnations.push_back({member.incarnation, now + m_limits.lateReplyPeriod});
     }
     member.incarnation = incarnation;
     return true;
 }
 
-void Membership::takeEntry(Member &member, const Store::HostEntry &entry)
+void Membership::applyEntry(Member &member, const Store::HostEntry &entry)
 {
     if (entry.incarnation < member.listedIncarnation) {
         return;
     }
     if (entry.incarnation > member.listedIncarnation && member.wasListed) {
         // What was known was about another host.
-        member.isLeavingBySelf = false;
+        member.isLeavingByReply = false;
         resetSuspicion(member);
     }
     member.listedIncarnation = entry.incarnation;
--- a/src/libs/decisions/control/membership.h
+++ b/src/libs/decisions/control/membership.h
@@ -18,9 +18,9 @@
 struct MembershipLimits
 {
     std::uint32_t timeoutsBeforeSuspicion = 2; ///< In a row, without a reply between.
-    std::chrono::milliseconds firstSuspicion{1000}; ///< How long the first suspicion skips it.
-    std::chrono::milliseconds longestSuspicion{8000}; ///< Each further suspicion without a reply doubles up to this.
-    std::chrono::milliseconds lateReplies{60000}; ///< For so long replies of an agent that was replaced may still come.
+    std::chrono::milliseconds initialSuspicion{1000}; ///< How long the first suspicion skips it.
+    std::chrono::milliseconds maximumSuspicion{8000}; ///< Each further suspicion without a reply doubles up to this.
+    std::chrono::milliseconds lateReplyPeriod{60000}; ///< For so long replies of an agent that was replaced may still come.
 };
 
 /// \brief The backend servers of a deployment as one process sees them: from settings, the host list and its own traffic.
@@ -43,10 +43,10 @@
     /// \brief An agent answered, whatever it said, as the named incarnation of itself (0: it did not say).
     ///
     /// Agents count their own incarnations, which have nothing to do with the numbers of the host list.
-    void noteReply(BackendServerId id, std::uint64_t incarnation, bool isLeaving, Core::TimePoint now);
+    void recordReply(BackendServerId id, std::uint64_t incarnation, bool isLeaving, Core::TimePoint now);
 
     /// \brief An agent did not answer in time, or its connection broke.
-    void noteTimeout(BackendServerId id, Core::TimePoint now);
+    void recordTimeout(BackendServerId id, Core::TimePoint now);
 
     /// \brief What RouteChooser::setFleet() takes. Suspected servers are in it as live, so that they keep their rank.
     std::vector<BackendServer> fleet() const;
@@ -77,7 +77,7 @@
         std::uint64_t incarnation = 0; ///< Of the agent.
         std::vector<PastIncarnation> pastIncarnations;
         std::uint64_t listedIncarnation = 0; ///< Of the host.
-        bool isLeavingBySelf = false;
+        bool isLeavingByReply = false;
         bool isLeavingByList = false;
         bool wasListed = false;
         bool isListed = false;
@@ -89,8 +89,8 @@
 
     BackendServerState stateOf(const Member &member) const;
     void updateState(Member &member);
-    bool takeIncarnation(Member &member, std::uint64_t incarnation, Core::TimePoint now);
-    static void takeEntry(Member &member, const Store::HostEntry &entry);
+    bool updateIncarnation(Member &member, std::uint64_t incarnation, Core::TimePoint now);
+    static void applyEntry(Member &member, const Store::HostEntry &entry);
     static void resetSuspicion(Member &member);
 
     MembershipLimits m_limits;
--- a/src/libs/decisions/control/orderplan.cpp
+++ b/src/libs/decisions/control/orderplan.cpp
@@ -32,7 +32,7 @@
 
 bool OrderPlan::isLeaseWanted() const
 {
-    return !m_entries.empty() || m_underWay;
+    return !m_entries.empty() || m_pendingOrder;
 }
 
 bool OrderPlan::isPermitWanted() const
@@ -40,13 +40,13 @@
     const auto isLoad = [](const Entry &entry) {
         return entry.order.kind == ModelOrder::Kind::Load;
     };
-    return std::any_of(m_entries.begin(), m_entries.end(), isLoad) || (m_underWay && m_underWay->kind == ModelOrder::Kind::Load);
+    return std::any_of(m_entries.begin(), m_entries.end(), isLoad) || (m_pendingOrder && m_pendingOrder->kind == ModelOrder::Kind::Load);
 }
 
 std::optional<EngineOrder> OrderPlan::nextOrder(const Lease &engineLease, const Lease &permit, Core::TimePoint now) const
 {
     // One at a time: the effect of an order that is under way is not known yet.
-    if (!engineLease.isHeld(now) || m_underWay) {
+    if (!engineLease.isHeld(now) || m_pendingOrder) {
         return std::nullopt;
     }
     for (const Entry &entry : m_entries) {
@@ -70,17 +70,17 @@
     return isLeaseHeld && (!isLoad || permit.isHeld(now)) && m_guard.maySend(order.sendBy, now);
 }
 
-void OrderPlan::noteSent(const EngineOrder &order, Core::TimePoint now)
+void OrderPlan::recordSent(const EngineOrder &order, Core::TimePoint now)
 {
-    m_underWay = order.order;
+    m_pendingOrder = order.order;
     if (Entry *entry = find(order.order)) {
         entry->notBefore = now + m_options.repeatInterval;
     }
 }
 
-void OrderPlan::noteAnswer(const EngineOrder &order, OrderAnswer answer, Core::TimePoint now)
+void OrderPlan::recordAnswer(const EngineOrder &order, OrderAnswer answer, Core::TimePoint now)
 {
-    m_underWay.reset();
+    m_pendingOrder.reset();
     if (Entry *entry = find(order.order)) {
         // After a lost answer the order is repeated soon; anything else waits to be seen in what the engine holds.
         entry->notBefore = now + (answer == OrderAnswer::Unknown ? m_options.retryInterval : m_options.repeatInterval);
@@ -89,7 +89,7 @@
 
 std::optional<Core::TimePoint> OrderPlan::nextDeadline() const
 {
-    if (m_entries.empty() || m_underWay) {
+    if (m_entries.empty() || m_pendingOrder) {
         return std::nullopt;
     }
     const auto isSooner = [](const Entry &left, const Entry &right) {
--- a/src/libs/decisions/control/orderplan.h
+++ b/src/libs/decisions/control/orderplan.h
@@ -68,8 +68,8 @@
     /// \brief To be asked right before the order is written to the engine: it may have been made ready long ago.
     bool maySend(const EngineOrder &order, const Lease &engineLease, const Lease &permit, Core::TimePoint now) const;
 
-    void noteSent(const EngineOrder &order, Core::TimePoint now);
-    void noteAnswer(const EngineOrder &order, OrderAnswer answer, Core::TimePoint now);
+    void recordSent(const EngineOrder &order, Core::TimePoint now);
+    void recordAnswer(const EngineOrder &order, OrderAnswer answer, Core::TimePoint now);
 
     /// \brief When nextOrder() may give something without an event.
     std::optional<Core::TimePoint> nextDeadline() const;
@@ -86,7 +86,7 @@
     OrderPlanOptions m_options;
     FencingGuard m_guard;
     std::vector<Entry> m_entries;
-    std::optional<ModelOrder> m_underWay; ///< Sent and not answered; the leases stay until then.
+    std::optional<ModelOrder> m_pendingOrder; ///< Sent and not answered; the leases stay until then.
 };
 
 } // namespace Verbena::Decisions
--- a/src/libs/decisions/control/storebudget.cpp
+++ b/src/libs/decisions/control/storebudget.cpp
@@ -12,7 +12,7 @@
 {
 }
 
-bool StoreBudget::take(Core::TimePoint now)
+bool StoreBudget::tryConsume(Core::TimePoint now)
 {
     const double level = levelAt(now);
     if (level < 1.) {
--- a/src/libs/decisions/control/storebudget.h
+++ b/src/libs/decisions/control/storebudget.h
@@ -12,7 +12,7 @@
     StoreBudget(double perSecond, double burst, Core::TimePoint now);
 
     /// \brief Takes one operation out of the budget; false, and nothing is taken, if there is none left.
-    bool take(Core::TimePoint now);
+    bool tryConsume(Core::TimePoint now);
 
     /// \brief When take() succeeds next.
     Core::TimePoint nextFree(Core::TimePoint now) const;
--- a/src/libs/settingstree/snapshotwriter.cpp
+++ b/src/libs/settingstree/snapshotwriter.cpp
@@ -21,7 +21,7 @@
     , m_objects(objects)
     , m_source(std::move(source))
     , m_plan(options.plan, options.seed, loop.now())
-    , m_lease(table, loop, Control::LeaseKeeper::namedLease(options.lease, leaseName, std::to_string(options.seed), options.seed + 1), [this] { write(); })
+    , m_lease(table, loop, Control::LeaseManager::namedLease(options.lease, leaseName, std::to_string(options.seed), options.seed + 1), [this] { write(); })
     , m_timer(loop, [this] { advance(); })
     , m_isAlive(std::make_shared<bool>(true))
 {
--- a/src/libs/settingstree/snapshotwriter.h
+++ b/src/libs/settingstree/snapshotwriter.h
@@ -1,6 +1,6 @@
 #pragma once
 
-#include <control/leasekeeper.h>
+#include <control/leasemanager.h>
 #include <decisions/spread/settingsdelta.h>
 #include <decisions/spread/snapshotplan.h>
 #include <eventloop/timer.h>
@@ -52,7 +52,7 @@
     Store::ObjectStore &m_objects;
     Source m_source;
     Decisions::SnapshotPlan m_plan;
-    Control::LeaseKeeper m_lease;
+    Control::LeaseManager m_lease;
     EventLoop::Timer m_timer;
     std::uint64_t m_revision = 0;
     bool m_isWriting = false;
--- a/tests/auto/control/tst_claimledger.cpp
+++ b/tests/auto/control/tst_claimregistry.cpp
@@ -1,6 +1,6 @@
 #include "virtualclock.h"
 
-#include <decisions/control/claimledger.h>
+#include <decisions/control/claimregistry.h>
 
 #include <gtest/gtest.h>
 #include <rapidcheck.h>
@@ -24,32 +24,32 @@
 public:
     Router(VirtualClock &clock, const std::string &name, std::uint64_t seed, const ClaimOptions &options = {})
         : m_clock(clock)
-        , m_ledger(std::make_shared<ClaimLedger>(options, name, seed, clock.now()))
+        , m_registry(std::make_shared<ClaimRegistry>(options, name, seed, clock.now()))
     {
     }
 
     ClaimId claim(const std::string &key, std::uint64_t hash = 7)
     {
-        const ClaimId id = m_ledger->claim({"kessick", "dams", key, hash, m_clock.now() + 60s}, m_clock.reading());
+        const ClaimId id = m_registry->claim({"kessick", "dams", key, hash, m_clock.now() + 60s}, m_clock.reading());
         keys[id] = key;
         return id;
     }
 
     void run()
     {
-        m_ledger->advance(m_clock.reading());
-        for (const ClaimAction &action : m_ledger->takeActions()) {
-            if (const auto *decided = std::get_if<ClaimDecided>(&action)) {
-                decisions[decided->id].push_back(decided->result);
+        m_registry->advance(m_clock.reading());
+        for (const ClaimAction &action : m_registry->takeActions()) {
+            if (const auto *report = std::get_if<ReportClaimResult>(&action)) {
+                decisions[report->id].push_back(report->result);
             } else {
                 send(action);
             }
         }
     }
 
-    ClaimLedger &ledger()
+    ClaimRegistry &registry()
     {
-        return *m_ledger;
+        return *m_registry;
     }
 
     const ClaimResult &result(ClaimId id) const
@@ -64,28 +64,28 @@
     // Answers to a router that was restarted meanwhile are lost with it.
     void send(const ClaimAction &action)
     {
-        const std::weak_ptr<ClaimLedger> weak = m_ledger;
+        const std::weak_ptr<ClaimRegistry> weak = m_registry;
         VirtualClock &clock = m_clock;
         if (const auto *commit = std::get_if<CommitRows>(&action)) {
             clock.platform().commit(commit->writes, commit->deadline, [weak, &clock, id = commit->id](const Store::CommitAnswer &answer) {
-                if (const auto ledger = weak.lock()) {
-                    ledger->handleCommit(id, answer, clock.reading());
+                if (const auto registry = weak.lock()) {
+                    registry->handleCommit(id, answer, clock.reading());
                 }
             });
         } else if (const auto *read = std::get_if<ReadRows>(&action)) {
             clock.platform().get(read->keys, read->deadline, [weak, &clock, id = read->id](const auto &rows) {
-                if (const auto ledger = weak.lock()) {
-                    ledger->handleRows(id, rows, clock.reading());
+                if (const auto registry = weak.lock()) {
+                    registry->handleRows(id, rows, clock.reading());
                 }
             });
         }
     }
 
     VirtualClock &m_clock;
-    std::shared_ptr<ClaimLedger> m_ledger;
+    std::shared_ptr<ClaimRegistry> m_registry;
 };
 
-class ClaimLedgerTest : public testing::Test
+class ClaimRegistryTest : public testing::Test
 {
 protected:
     void runFor(std::chrono::milliseconds span)
@@ -110,7 +110,7 @@
     Router m_second{m_clock, "router2", 2};
 };
 
-TEST_F(ClaimLedgerTest, grantsOneOfTwoRacersAndGivesTheOtherTheFirstOutcome)
+TEST_F(ClaimRegistryTest, grantsOneOfTwoRacersAndGivesTheOtherTheFirstOutcome)
 {
     const ClaimId winner = m_first.claim("a");
     const ClaimId loser = m_second.claim("a");
@@ -118,7 +118,7 @@
     EXPECT_EQ(m_first.result(winner).verdict, ClaimVerdict::Granted);
     EXPECT_EQ(m_second.result(loser).verdict, ClaimVerdict::Duplicate);
     EXPECT_FALSE(m_second.result(loser).outcome);
-    m_first.ledger().recordOutcome(winner, {200, "application/json", "{\"n\":\n1}"}, m_clock.now());
+    m_first.registry().recordOutcome(winner, {200, "application/json", "{\"n\":\n1}"}, m_clock.now());
     runFor(100ms);
     const ClaimId later = m_second.claim("a");
     const ClaimId other = m_second.claim("b");
@@ -129,7 +129,7 @@
     EXPECT_EQ(m_second.result(other).verdict, ClaimVerdict::Granted);
 }
 
-TEST_F(ClaimLedgerTest, tellsAnotherRequestUnderTheSameKey)
+TEST_F(ClaimRegistryTest, tellsAnotherRequestUnderTheSameKey)
 {
     m_first.claim("a", 7);
     runFor(100ms);
@@ -139,7 +139,7 @@
     EXPECT_FALSE(m_second.result(other).isSameRequest);
 }
 
-TEST_F(ClaimLedgerTest, splitsABatchSoThatInnocentClaimsGoThrough)
+TEST_F(ClaimRegistryTest, splitsABatchSoThatInnocentClaimsGoThrough)
 {
     m_first.claim("taken");
     runFor(100ms);
@@ -158,7 +158,7 @@
     EXPECT_EQ(m_clock.platform().state().counts().writes - writes, 2U);
 }
 
-TEST_F(ClaimLedgerTest, readsBackWhenTheAnswerIsLostAfterTheEffectAndBefore)
+TEST_F(ClaimRegistryTest, readsBackWhenTheAnswerIsLostAfterTheEffectAndBefore)
 {
     setFaults({.lostAnswers = 1});
     const ClaimId written = m_first.claim("a");
@@ -170,7 +170,7 @@
     EXPECT_EQ(m_first.result(unwritten).verdict, ClaimVerdict::Granted);
 }
 
-TEST_F(ClaimLedgerTest, saysNotClaimedDuringAnOutageOfMinutesAndGrantsAfterIt)
+TEST_F(ClaimRegistryTest, saysNotClaimedDuringAnOutageOfMinutesAndGrantsAfterIt)
 {
     for (const Outage outage : {Outage::Refusing, Outage::Silent}) {
         setFaults({.outage = outage});
@@ -187,7 +187,7 @@
     }
 }
 
-TEST_F(ClaimLedgerTest, withdrawsAClaimThatWasWrittenButRefusedToItsCaller)
+TEST_F(ClaimRegistryTest, withdrawsAClaimThatWasWrittenButRefusedToItsCaller)
 {
     // The write takes effect and the table then goes silent until the claim's patience has ended.
     setFaults({.lostAnswers = 1});
@@ -203,7 +203,7 @@
     EXPECT_EQ(m_second.result(again).verdict, ClaimVerdict::Granted);
 }
 
-TEST_F(ClaimLedgerTest, fencesOffAWriteThatTakesEffectAfterItsCallerWasTold)
+TEST_F(ClaimRegistryTest, fencesOffAWriteThatTakesEffectAfterItsCallerWasTold)
 {
     setFaults({.delayedWrites = 1});
     const ClaimId first = m_first.claim("a");
@@ -218,21 +218,21 @@
     EXPECT_EQ(m_second.result(again).verdict, ClaimVerdict::Granted);
 }
 
-TEST_F(ClaimLedgerTest, forbidsTheDispatchToAHolderThatWakesUpLate)
+TEST_F(ClaimRegistryTest, forbidsTheDispatchToAHolderThatWakesUpLate)
 {
     const ClaimId id = m_first.claim("a");
     runFor(100ms);
     ASSERT_EQ(m_first.result(id).verdict, ClaimVerdict::Granted);
-    EXPECT_TRUE(m_first.ledger().mayDispatch(id, m_clock.now()));
-    EXPECT_FALSE(m_first.ledger().mayDispatch(id, m_clock.now() + 31s));
+    EXPECT_TRUE(m_first.registry().mayDispatch(id, m_clock.now()));
+    EXPECT_FALSE(m_first.registry().mayDispatch(id, m_clock.now() + 31s));
 }
 
-TEST_F(ClaimLedgerTest, givesAKeyAnewAfterItsLifetimeOrItsRelease)
+TEST_F(ClaimRegistryTest, givesAKeyAnewAfterItsLifetimeOrItsRelease)
 {
     const ClaimId released = m_first.claim("r");
     m_first.claim("e");
     runFor(100ms);
-    m_first.ledger().release(released, m_clock.now());
+    m_first.registry().release(released, m_clock.now());
     runFor(100ms);
     const ClaimId again = m_second.claim("r");
     const ClaimId early = m_second.claim("e");
@@ -258,7 +258,7 @@
     return faults;
 }
 
-TEST(ClaimLedgerProperty, neverHoldsAClaimTwice)
+TEST(ClaimRegistryProperty, neverHoldsAClaimTwice)
 {
     // Every granted claim counts as run at once; half of them record an outcome, the others die with their router or wait.
     EXPECT_TRUE(rc::check("no key is granted twice, and what was not claimed can be claimed once all is well", [] {
--- a/tests/auto/control/tst_claimsweeper.cpp
+++ b/tests/auto/control/tst_claimsweeper.cpp
@@ -15,10 +15,10 @@
 using namespace std::chrono_literals;
 
 /// Carries out what a sweeper asks for.
-class Sweep
+class SweeperDriver
 {
 public:
-    Sweep(VirtualClock &clock, const ClaimSweeperOptions &options)
+    SweeperDriver(VirtualClock &clock, const ClaimSweeperOptions &options)
         : m_clock(clock)
         , m_sweeper(options)
     {
@@ -32,13 +32,13 @@
         }
         Store::TableService &table = m_clock.platform();
         if (const auto *cursor = std::get_if<ReadSweepCursor>(&*action)) {
-            table.get({ClaimSweeper::cursorRow}, cursor->deadline, [this](const auto &rows) { m_sweeper.takeCursor(rows, m_clock.now()); });
+            table.get({ClaimSweeper::cursorRow}, cursor->deadline, [this](const auto &rows) { m_sweeper.handleCursor(rows, m_clock.now()); });
         } else if (const auto *scan = std::get_if<ScanClaims>(&*action)) {
             table.scan(ClaimSweeper::claimsPrefix, scan->sinceRevision, scan->limit, scan->deadline, [this](const auto &rows) {
-                m_sweeper.takePage(rows, m_clock.reading());
+                m_sweeper.handlePage(rows, m_clock.reading());
             });
         } else if (const auto *remove = std::get_if<RemoveClaims>(&*action)) {
-            table.commit(remove->writes, remove->deadline, [this](const auto &answer) { m_sweeper.takeCommit(answer, m_clock.now()); });
+            table.commit(remove->writes, remove->deadline, [this](const auto &answer) { m_sweeper.handleCommit(answer, m_clock.now()); });
         }
     }
 
@@ -54,8 +54,8 @@
         ClaimSweeperOptions options;
         options.pageRows = 4;
         options.idleInterval = 10s;
-        Sweep first(clock, options);
-        Sweep second(clock, options);
+        SweeperDriver first(clock, options);
+        SweeperDriver second(clock, options);
         Standin::PlatformState &state = clock.platform().state();
         std::map<std::string, Core::WallTime> expiries;
         const auto runFor = [&](std::chrono::milliseconds span) {
--- a/tests/auto/control/tst_hostnews.cpp
+++ b/tests/auto/control/tst_hostgossip.cpp
@@ -1,4 +1,4 @@
-#include <decisions/control/hostnews.h>
+#include <decisions/control/hostgossip.h>
 
 #include <gtest/gtest.h>
 #include <rapidcheck.h>
@@ -27,19 +27,19 @@
 }
 
 /// Processes that pass on changes over links of one latency; a partition cuts the first half from the second.
-class Gossip
+class GossipNetwork
 {
 public:
-    Gossip(std::size_t count, const std::vector<HostEntry> &list)
+    GossipNetwork(std::size_t count, const std::vector<HostEntry> &list)
     {
         for (std::size_t i = 0; i < count; ++i) {
             m_names.push_back(std::to_string(i));
-            m_nodes.emplace_back(HostNewsOptions(), i + 1, start);
-            m_nodes.back().takeList(list, start, start);
+            m_nodes.emplace_back(HostGossipOptions(), i + 1, start);
+            m_nodes.back().applyList(list, start, start);
         }
     }
 
-    HostNews &node(std::size_t index)
+    HostGossip &node(std::size_t index)
     {
         return m_nodes[index];
     }
@@ -59,14 +59,14 @@
             std::vector<Message> due;
             due.swap(m_messages);
             for (const Message &message : due) {
-                m_nodes[message.to].takeChanges(message.changes, now);
+                m_nodes[message.to].applyChanges(message.changes, now);
             }
         }
     }
 
     std::size_t countOf(const std::string &name, bool isListed) const
     {
-        return std::count_if(m_nodes.begin(), m_nodes.end(), [&](const HostNews &node) {
+        return std::count_if(m_nodes.begin(), m_nodes.end(), [&](const HostGossip &node) {
             const auto hosts = node.hosts();
             return std::any_of(hosts.begin(), hosts.end(), [&](const HostEntry &host) { return host.name == name; }) == isListed;
         });
@@ -97,68 +97,68 @@
     }
 
     std::vector<std::string> m_names;
-    std::vector<HostNews> m_nodes;
+    std::vector<HostGossip> m_nodes;
     std::vector<Message> m_messages;
     bool m_isPartitioned = false;
 };
 
-TEST(HostNews, reachesThreeThousandProcessesWithinASecondByEightMessagesEach)
+TEST(HostGossip, reachesThreeThousandProcessesWithinASecondByEightMessagesEach)
 {
     const std::vector<HostEntry> list = makeList(4);
-    Gossip gossip(3000, list);
+    GossipNetwork network(3000, list);
     std::vector<HostEntry> shorter = list;
     shorter.pop_back();
-    gossip.runUntil(start + 100ms);
-    gossip.node(0).takeList(shorter, gossip.now, gossip.now);
-    gossip.runUntil(gossip.now + 1s);
+    network.runUntil(start + 100ms);
+    network.node(0).applyList(shorter, network.now, network.now);
+    network.runUntil(network.now + 1s);
     // Each message misses a given process with probability 1 - 1/3000; 24,000 of them all miss it with exp(-8).
-    EXPECT_LE(gossip.countOf("host1003", true), 5U);
-    EXPECT_LE(gossip.messagesSent, 3000U * 8U);
-    RecordProperty("missed", static_cast<int>(gossip.countOf("host1003", true)));
-    RecordProperty("messages", static_cast<int>(gossip.messagesSent));
+    EXPECT_LE(network.countOf("host1003", true), 5U);
+    EXPECT_LE(network.messagesSent, 3000U * 8U);
+    RecordProperty("missed", static_cast<int>(network.countOf("host1003", true)));
+    RecordProperty("messages", static_cast<int>(network.messagesSent));
 }
 
-TEST(HostNews, spreadsTheLossOfAFailureDomainWithinItsBytes)
+TEST(HostGossip, spreadsTheLossOfAFailureDomainWithinItsBytes)
 {
     const std::vector<HostEntry> list = makeList(400);
-    Gossip gossip(60, list);
-    gossip.runUntil(start + 100ms);
-    gossip.node(0).takeList({list.begin(), list.begin() + 270}, gossip.now, gossip.now);
+    GossipNetwork network(60, list);
+    network.runUntil(start + 100ms);
+    network.node(0).applyList({list.begin(), list.begin() + 270}, network.now, network.now);
     // In the first second: the burst, a second's bytes, and a last round of messages on top, at about 45 bytes a change.
-    gossip.runUntil(gossip.now + 1s);
-    EXPECT_LT(gossip.changesSent * 45 / 60, 32'000U + 2'000U + 4U * 32U * 45U);
-    gossip.runUntil(gossip.now + 60s);
+    network.runUntil(network.now + 1s);
+    EXPECT_LT(network.changesSent * 45 / 60, 32'000U + 2'000U + 4U * 32U * 45U);
+    network.runUntil(network.now + 60s);
     for (std::size_t i = 270; i < 400; ++i) {
-        EXPECT_EQ(gossip.countOf(list[i].name, true), 0U) << list[i].name;
+        EXPECT_EQ(network.countOf(list[i].name, true), 0U) << list[i].name;
     }
 }
 
-TEST(HostNews, doesNotSpreadAFirstListAndIgnoresAnEmptyOne)
+TEST(HostGossip, doesNotSpreadAFirstListAndIgnoresAnEmptyOne)
 {
-    HostNews news({}, 1, start);
+    HostGossip news({}, 1, start);
     const std::vector<std::string> peers{"a"};
-    EXPECT_TRUE(news.takeList(makeList(3), start, start));
+    EXPECT_TRUE(news.applyList(makeList(3), start, start));
     EXPECT_TRUE(news.advance(peers, start).empty());
-    EXPECT_FALSE(news.takeList({}, start + 1s, start + 1s));
+    EXPECT_FALSE(news.applyList({}, start + 1s, start + 1s));
     EXPECT_EQ(news.hosts().size(), 3U);
 }
 
-TEST(HostNews, keepsAHostThatAPeerToldOfAfterTheListWasAskedFor)
+TEST(HostGossip, keepsAHostThatAPeerToldOfAfterTheListWasAskedFor)
 {
-    HostNews news({}, 1, start);
-    news.takeList(makeList(3), start, start);
-    news.takeChanges({{{"new", "10.0.0.9", "b", 5, false}, false}}, start + 2s);
-    news.takeList(makeList(3), start + 1s, start + 3s);
+    HostGossip news({}, 1, start);
+    news.applyList(makeList(3), start, start);
+    news.applyChanges({{{"new", "10.0.0.9", "b", 5, false}, false}}, start + 2s);
+    news.applyList(makeList(3), start + 1s, start + 3s);
     EXPECT_EQ(news.hosts().size(), 4U);
-    news.takeList(makeList(3), start + 4s, start + 5s);
+    news.applyList(makeList(3), start + 4s, start + 5s);
     EXPECT_EQ(news.hosts().size(), 3U);
 }
 
-TEST(HostNewsProperty, convergesAfterReplacementsAndAPartition)
+TEST(HostGossipProperty, convergesAfterReplacementsAndAPartition)
 {
     EXPECT_TRUE(rc::check("all processes end with what the platform shows, whoever polled and whatever was cut", [] {
         std::vector<HostEntry> list = makeList(5);
-        Gossip gossip(12, list);
+        GossipNetwork network(12, list);
         std::uint64_t incarnation = 1000;
         const int steps = *rc::gen::inRange(1, 15);
         for (int i = 0; i < steps; ++i) {
@@ -169,18 +169,18 @@
             } else {
                 host.isLeaving = true;
             }
-            gossip.setPartitioned(*rc::gen::arbitrary<bool>());
-            gossip.node(*rc::gen::inRange<std::size_t>(0, 12)).takeList(list, gossip.now, gossip.now);
-            gossip.runUntil(gossip.now + std::chrono::milliseconds(*rc::gen::element(0, 10, 1000)));
+            network.setPartitioned(*rc::gen::arbitrary<bool>());
+            network.node(*rc::gen::inRange<std::size_t>(0, 12)).applyList(list, network.now, network.now);
+            network.runUntil(network.now + std::chrono::milliseconds(*rc::gen::element(0, 10, 1000)));
         }
         // After healing, two polls on either side are enough for the rest to hear; whom the draw misses polls for itself.
-        gossip.setPartitioned(false);
+        network.setPartitioned(false);
         for (std::size_t i = 0; i < 12; ++i) {
-            gossip.node(i).takeList(list, gossip.now, gossip.now);
-            gossip.runUntil(gossip.now + 1s);
+            network.node(i).applyList(list, network.now, network.now);
+            network.runUntil(network.now + 1s);
         }
         for (std::size_t i = 0; i < 12; ++i) {
-            const std::vector<HostEntry> hosts = gossip.node(i).hosts();
+            const std::vector<HostEntry> hosts = network.node(i).hosts();
             RC_ASSERT(hosts.size() == list.size());
             for (std::size_t n = 0; n < list.size(); ++n) {
                 RC_ASSERT(hosts[n].incarnation == list[n].incarnation);
--- a/tests/auto/control/tst_keepers.cpp
+++ b/tests/auto/control/tst_keepers.cpp
@@ -1,7 +1,7 @@
 #include <control/budgetedtable.h>
-#include <control/claimkeeper.h>
+#include <control/claimmanager.h>
 #include <control/hostlisttask.h>
-#include <control/leasekeeper.h>
+#include <control/leasemanager.h>
 #include <control/tableclaimservice.h>
 #include <eventloop/loop.h>
 #include <eventloop/timer.h>
@@ -32,7 +32,7 @@
 
     std::unique_ptr<Store::HttpPlatform> platform;
     Control::BudgetedTable table;
-    Control::ClaimKeeper claims;
+    Control::ClaimManager claims;
 };
 
 /// The keepers against the platform's stand-in as a process of its own.
@@ -143,21 +143,21 @@
 
 TEST_F(KeepersTest, givesFourHoldersThreePermitsAndTheFourthOneThatIsGivenBack)
 {
-    std::vector<std::unique_ptr<Control::LeaseKeeper>> keepers;
+    std::vector<std::unique_ptr<Control::LeaseManager>> managers;
     LeaseOptions options;
     options.retryInterval = 20ms;
-    options.longestRetryInterval = 40ms;
+    options.maximumRetryInterval = 40ms;
     for (std::uint64_t i = 1; i <= 4; ++i) {
-        Lease permit = Control::LeaseKeeper::weightPermit(options, "agent" + std::to_string(i), i);
-        keepers.push_back(std::make_unique<Control::LeaseKeeper>(m_first.table, *m_loop, std::move(permit), [] {}));
-        keepers.back()->setWanted(true);
+        Lease permit = Control::LeaseManager::weightPermit(options, "agent" + std::to_string(i), i);
+        managers.push_back(std::make_unique<Control::LeaseManager>(m_first.table, *m_loop, std::move(permit), [] {}));
+        managers.back()->setWanted(true);
     }
     const auto countHeld = [&] {
-        return std::count_if(keepers.begin(), keepers.end(), [&](const auto &keeper) { return keeper->lease().isHeld(m_loop->now()); });
+        return std::count_if(managers.begin(), managers.end(), [&](const auto &manager) { return manager->lease().isHeld(m_loop->now()); });
     };
     runUntil([&] { return countHeld() == 3; });
-    const auto waiting = std::find_if(keepers.begin(), keepers.end(), [&](const auto &keeper) { return !keeper->lease().isHeld(m_loop->now()); });
-    const auto holder = waiting == keepers.begin() ? keepers.begin() + 1 : keepers.begin();
+    const auto waiting = std::find_if(managers.begin(), managers.end(), [&](const auto &manager) { return !manager->lease().isHeld(m_loop->now()); });
+    const auto holder = waiting == managers.begin() ? managers.begin() + 1 : managers.begin();
     (*holder)->setWanted(false);
     runUntil([&] { return (*waiting)->lease().isHeld(m_loop->now()); });
     EXPECT_EQ(countHeld(), 3);
--- a/tests/auto/control/tst_lease.cpp
+++ b/tests/auto/control/tst_lease.cpp
@@ -179,20 +179,20 @@
     const auto order = plan.nextOrder(engine.lease(), permit.lease(), clock.now());
     ASSERT_TRUE(order);
     EXPECT_EQ(order->fencingNumber, engine.lease().fencingNumber());
-    plan.noteSent(*order, clock.now());
+    plan.recordSent(*order, clock.now());
     EXPECT_FALSE(plan.nextOrder(engine.lease(), permit.lease(), clock.now()));
-    plan.noteAnswer(*order, OrderAnswer::Unknown, clock.now());
+    plan.recordAnswer(*order, OrderAnswer::Unknown, clock.now());
     runFor(500ms);
     EXPECT_TRUE(plan.nextOrder(engine.lease(), permit.lease(), clock.now()));
-    plan.noteAnswer(*order, OrderAnswer::Done, clock.now());
+    plan.recordAnswer(*order, OrderAnswer::Done, clock.now());
     EXPECT_FALSE(plan.nextOrder(engine.lease(), permit.lease(), clock.now()));
     runFor(6s);
     EXPECT_TRUE(plan.nextOrder(engine.lease(), permit.lease(), clock.now()));
     // An order that is wanted no more keeps its leases until it is answered.
-    plan.noteSent(*order, clock.now());
+    plan.recordSent(*order, clock.now());
     plan.setOrders({});
     EXPECT_TRUE(plan.isPermitWanted());
-    plan.noteAnswer(*order, OrderAnswer::Done, clock.now());
+    plan.recordAnswer(*order, OrderAnswer::Done, clock.now());
     EXPECT_FALSE(plan.isPermitWanted());
     EXPECT_FALSE(plan.isLeaseWanted());
 }
--- a/tests/auto/control/tst_membership.cpp
+++ b/tests/auto/control/tst_membership.cpp
@@ -85,11 +85,11 @@
 
 TEST_F(MembershipTest, takesAReplacedHostUnderTheSameAddressForAnother)
 {
-    m_membership.noteReply(m_e1, 501, true, start + 1s);
+    m_membership.recordReply(m_e1, 501, true, start + 1s);
     EXPECT_EQ(stateOf("e1"), BackendServerState::Leaving);
     // Its replacement answers before the list shows it; a late reply still speaks of the old one.
-    m_membership.noteReply(m_e1, 502, false, start + 2s);
-    m_membership.noteReply(m_e1, 501, true, start + 3s);
+    m_membership.recordReply(m_e1, 502, false, start + 2s);
+    m_membership.recordReply(m_e1, 501, true, start + 3s);
     EXPECT_EQ(m_membership.incarnation(m_e1), 502U);
     EXPECT_EQ(stateOf("e1"), BackendServerState::Live);
     std::vector<HostEntry> hosts = list();
@@ -106,7 +106,7 @@
 
 TEST_F(MembershipTest, forgetsThatAHostWasLeavingWhenTheListShowsItsReplacement)
 {
-    m_membership.noteReply(m_e1, 501, true, start + 1s);
+    m_membership.recordReply(m_e1, 501, true, start + 1s);
     std::vector<HostEntry> hosts = list();
     hosts[0].incarnation = 12;
     m_membership.setHostList(hosts, start + 2s);
@@ -116,19 +116,19 @@
 TEST_F(MembershipTest, skipsASilentServerForABoundedTimeAndKeepsItsRank)
 {
     const std::uint64_t version = m_membership.version();
-    m_membership.noteTimeout(m_e1, start);
+    m_membership.recordTimeout(m_e1, start);
     EXPECT_FALSE(m_membership.isSuspected(m_e1, start));
     Core::TimePoint now = start;
     for (int round = 0; round < 10; ++round) {
-        m_membership.noteTimeout(m_e1, now);
+        m_membership.recordTimeout(m_e1, now);
         ASSERT_TRUE(m_membership.isSuspected(m_e1, now));
         EXPECT_FALSE(m_membership.isSuspected(m_e1, now + 8s));
         now += 8s;
     }
     EXPECT_EQ(m_membership.version(), version);
     EXPECT_EQ(stateOf("e1"), BackendServerState::Live);
-    m_membership.noteTimeout(m_e1, now);
-    m_membership.noteReply(m_e1, 11, false, now);
+    m_membership.recordTimeout(m_e1, now);
+    m_membership.recordReply(m_e1, 11, false, now);
     EXPECT_FALSE(m_membership.isSuspected(m_e1, now));
 }
 
@@ -143,9 +143,9 @@
                 continue;
             }
             if (server.failureDomain == "b") {
-                m_membership.noteTimeout(server.id, now);
+                m_membership.recordTimeout(server.id, now);
             } else {
-                m_membership.noteReply(server.id, 0, false, now);
+                m_membership.recordReply(server.id, 0, false, now);
             }
         }
     }
@@ -154,7 +154,7 @@
     now += 8s;
     EXPECT_TRUE(m_membership.suspected(now).empty());
     for (const BackendServer &server : before) {
-        m_membership.noteReply(server.id, 0, false, now);
+        m_membership.recordReply(server.id, 0, false, now);
     }
     const std::vector<BackendServer> after = m_membership.fleet();
     for (std::size_t i = 0; i < before.size(); ++i) {
@@ -175,7 +175,7 @@
         const int newest = *rc::gen::inRange(2, 6);
         Core::TimePoint now = start;
         for (int incarnation = 1; incarnation <= newest; ++incarnation) {
-            membership.noteReply(id, static_cast<std::uint64_t>(incarnation), false, now);
+            membership.recordReply(id, static_cast<std::uint64_t>(incarnation), false, now);
             membership.setHostList({{"e1", "10.0.0.1", "a", static_cast<std::uint64_t>(incarnation), false}}, now);
             const int count = *rc::gen::inRange(0, 5);
             for (int i = 0; i < count; ++i) {
@@ -185,7 +185,7 @@
                     continue;
                 }
                 if (*rc::gen::arbitrary<bool>()) {
-                    membership.noteReply(id, old, *rc::gen::arbitrary<bool>(), now);
+                    membership.recordReply(id, old, *rc::gen::arbitrary<bool>(), now);
                 } else {
                     membership.setHostList({{"e1", "10.0.0.1", "a", old, true}}, now);
                 }
@@ -210,10 +210,10 @@
     platform.setFaults({.readsPerSecond = 2000});
     std::vector<Backoff> backoffs;
     std::multimap<Core::TimePoint, std::size_t> due;
-    std::vector<int> left(processCount, 2);
+    std::vector<int> readsLeft(processCount, 2);
     for (std::size_t i = 0; i < processCount; ++i) {
         backoffs.emplace_back(BackoffOptions(), seed + i);
-        due.emplace(firstStoreRead(start, processCount, 2, readsPerSecond, seed * 1'000'003 + i), i);
+        due.emplace(firstStoreReadTime(start, processCount, 2, readsPerSecond, seed * 1'000'003 + i), i);
     }
     HerdResult result;
     while (!due.empty()) {
@@ -221,12 +221,12 @@
         due.erase(due.begin());
         result.lastDone = now;
         if (platform.admitRead(now) == Standin::Admission::Serve) {
-            backoffs[process].noteSuccess();
-            if (--left[process] > 0) {
+            backoffs[process].recordSuccess();
+            if (--readsLeft[process] > 0) {
                 due.emplace(now + 5ms, process);
             }
         } else {
-            backoffs[process].noteFailure(now);
+            backoffs[process].recordFailure(now);
             due.emplace(backoffs[process].notBefore(), process);
         }
     }
@@ -256,10 +256,10 @@
         const auto gaps = *rc::gen::container<std::vector<int>>(rc::gen::inRange(0, 60));
         for (const int gap : gaps) {
             now += std::chrono::milliseconds(gap);
-            taken += budget.take(now) ? 1 : 0;
+            taken += budget.tryConsume(now) ? 1 : 0;
             RC_ASSERT(taken <= 10 + 50 * std::chrono::duration<double>(now - start).count() + 1e-6);
             const Core::TimePoint free = budget.nextFree(now);
-            RC_ASSERT(StoreBudget(budget).take(free));
+            RC_ASSERT(StoreBudget(budget).tryConsume(free));
         }
     }));
 }
--- a/tests/auto/control/tst_pausedagent.cpp
+++ b/tests/auto/control/tst_pausedagent.cpp
@@ -1,6 +1,6 @@
 #include "../agent/agentharness.h"
 
-#include <control/leasekeeper.h>
+#include <control/leasemanager.h>
 #include <settingstree/rowcodec.h>
 #include <store/httpplatform.h>
 
@@ -72,8 +72,8 @@
     declareWeights("2");
     ASSERT_TRUE(m_harness.runUntil([&] { return m_harness.status()["orders_sent"] == 1; }));
     m_harness.agent->sendSignal(SIGSTOP);
-    const Decisions::LeaseOptions options{.retryInterval = 100ms, .longestRetryInterval = 500ms};
-    Control::LeaseKeeper other(*m_client, *m_harness.loop, Control::LeaseKeeper::namedLease(options, "engines/agent1", "other", 7), [] {});
+    const Decisions::LeaseOptions options{.retryInterval = 100ms, .maximumRetryInterval = 500ms};
+    Control::LeaseManager other(*m_client, *m_harness.loop, Control::LeaseManager::namedLease(options, "engines/agent1", "other", 7), [] {});
     other.setWanted(true);
     ASSERT_TRUE(m_harness.runUntil([&] { return other.lease().isHeld(m_harness.loop->now()); }));
     // Nobody has touched the permit: only a new tenure, after the wake-up, can change its token.
