--- a/src/libs/control/budgetedtable.cpp
+++ b/src/libs/control/budgetedtable.cpp
@@ -13,17 +13,17 @@
 
 Core::Error budgetError(const char *step)
 {
-    return {Core::ErrorCode::ResourceExhausted, step, peerName, "This process's part of the table's budget is used up."};
+    return {Core::ErrorCode::ResourceExhausted, step, peerName, "The table budget of this process is used up."};
 }
 
 Core::Error backoffError(const char *step)
 {
-    return {Core::ErrorCode::Unavailable, step, peerName, "The table failed a moment ago; it is left alone for now."};
+    return {Core::ErrorCode::Unavailable, step, peerName, "The table failed recently; calls are refused until the backoff ends."};
 }
 
 } // namespace
 
-// Answers may come after the decorator is gone, so they hold on to this weakly.
+// Answers may arrive after the decorator was destroyed, so callbacks hold only a weak pointer to this.
 struct BudgetedTable::Internals
 {
     Internals(Store::TableService &wrapped, EventLoop::Loop &eventLoop, const TableBudget &budget, std::uint64_t seed)
@@ -37,7 +37,7 @@
     {
     }
 
-    // The error that keeps a call from being sent, if there is one.
+    // Returns the error that prevents a call from being sent, if there is one.
     std::optional<Core::Error> admit(Decisions::StoreBudget &budget, const char *step)
     {
         const Core::TimePoint now = loop.now();
--- a/src/libs/control/budgetedtable.h
+++ b/src/libs/control/budgetedtable.h
@@ -13,23 +13,23 @@
 
 namespace Verbena::Control {
 
-/// \brief A process's part of what the table can take.
+/// \brief The share of the table's capacity that one process may use.
 struct TableBudget
 {
     double readsPerSecond = 20;
     double writesPerSecond = 20;
     double burst = 20;
-    std::chrono::milliseconds maximumCallDuration{2'000}; ///< No call's deadline lies further off.
+    std::chrono::milliseconds maximumCallDuration{2'000}; ///< Limit of the deadline of each call, from now.
     Decisions::BackoffOptions backoff;
 };
 
-/// \brief A table service that keeps a process within its budget and away from a table that fails.
+/// \brief A table service that limits the calls of a process to its budget and backs off while the table fails.
 ///
-/// A call over the budget or during backoff is refused at once: ResourceExhausted or Unavailable for reads, NotSent for commits.
+/// A call that exceeds the budget or falls into a backoff is refused at once with ResourceExhausted or Unavailable for reads, NotSent for commits.
 class BudgetedTable : public Store::TableService
 {
 public:
-    /// \brief Wraps \a table, which has to live longer; \a seed spreads the retries of processes that failed together.
+    /// \brief Wraps \a table, which must outlive this object; \a seed spreads the retries of processes that failed together.
     BudgetedTable(Store::TableService &table, EventLoop::Loop &loop, const TableBudget &budget, std::uint64_t seed);
     ~BudgetedTable() override;
 
--- a/src/libs/control/claimmanager.h
+++ b/src/libs/control/claimmanager.h
@@ -10,22 +10,22 @@
 
 namespace Verbena::Control {
 
-/// \brief Claims requests that may run at most once in the platform's table; drives a ClaimLedger on an event loop.
+/// \brief Claims requests that may run at most once in the platform's table by running a ClaimRegistry on an event loop.
 ///
-/// Each claim that is granted has to end by exactly one of recordOutcome(), release() and abandon().
+/// Each granted claim must be ended by exactly one of recordOutcome(), release() and abandon().
 class ClaimManager
 {
 public:
     using ResultCallback = std::function<void(const Decisions::ClaimResult &)>;
 
-    /// \brief Uses \a table, which has to live longer. \a owner and \a seed: see ClaimLedger.
+    /// \brief Uses \a table, which must outlive this object. \a owner and \a seed: see ClaimRegistry.
     ClaimManager(Store::TableService &table, EventLoop::Loop &loop, const Decisions::ClaimOptions &options, std::string owner, std::uint64_t seed);
     ~ClaimManager();
 
-    /// \brief Asks for a claim; \a done is called once from the loop, never from within this call.
+    /// \brief Requests a claim. \a done is called once from the loop, never from within this call.
     Decisions::ClaimId claim(const Decisions::ClaimRequest &request, ResultCallback done);
 
-    /// \brief To be asked right before the dispatch of a granted claim.
+    /// \brief Returns true while a granted claim may be dispatched. Call it right before the dispatch.
     bool mayDispatch(Decisions::ClaimId id) const;
 
     void recordOutcome(Decisions::ClaimId id, const Decisions::ClaimOutcome &outcome);
--- a/src/libs/control/claimsweeptask.cpp
+++ b/src/libs/control/claimsweeptask.cpp
@@ -8,7 +8,7 @@
 
 namespace {
 
-// Every router waits for this lease, and it does not matter when exactly it passes on.
+// Every router waits for this lease, and a late change of its holder does no harm.
 constexpr LeaseOptions leaseOptions{.maximumRetryInterval = std::chrono::minutes(5)};
 
 } // namespace
--- a/src/libs/control/claimsweeptask.h
+++ b/src/libs/control/claimsweeptask.h
@@ -8,11 +8,11 @@
 
 namespace Verbena::Control {
 
-/// \brief Removes expired claims while this process holds the lease for it.
+/// \brief Removes expired claims while this process holds the lease for the removal.
 class ClaimSweepTask
 {
 public:
-    /// \brief Starts at once. Uses \a table, which has to live longer. \a owner and \a seed: see Lease.
+    /// \brief Starts at once. Uses \a table, which must outlive this object. \a owner and \a seed: see Lease.
     ClaimSweepTask(
         Store::TableService &table, EventLoop::Loop &loop, const Decisions::ClaimSweeperOptions &options, const std::string &owner, std::uint64_t seed);
     ~ClaimSweepTask();
--- a/src/libs/control/hostlistpoller.cpp
+++ b/src/libs/control/hostlistpoller.cpp
@@ -46,7 +46,7 @@
 
 void HostListPoller::poll()
 {
-    // The list is as old as the request for it, at least.
+    // The list may be as old as the request for it.
     const Core::TimePoint sentAt = m_loop.now();
     m_poller.noteStarted(sentAt);
     m_hosts.fetch(sentAt + fetchTimeout, [this, sentAt, alive = std::weak_ptr(m_alive)](const Core::Result<std::vector<Store::HostEntry>> &hosts) {
--- a/src/libs/control/hostlistpoller.h
+++ b/src/libs/control/hostlistpoller.h
@@ -10,23 +10,23 @@
 
 namespace Verbena::Control {
 
-/// \brief Polls the platform's host list at this process's part of the common rate.
+/// \brief Polls the platform's host list at this process's share of the common rate.
 class HostListPoller
 {
 public:
     using ListCallback = std::function<void(const std::vector<Store::HostEntry> &hosts, Core::TimePoint fetchedAt)>;
 
-    /// \brief Uses \a hosts, which has to live longer; \a received is called with each list, from the loop.
+    /// \brief Uses \a hosts, which must outlive this object; \a received is called with each list, from the loop.
     HostListPoller(Store::HostList &hosts, EventLoop::Loop &loop, const Decisions::FeedPollerOptions &options, std::uint64_t seed, ListCallback received);
     ~HostListPoller();
 
-    /// \brief Takes the number of processes that poll together.
+    /// \brief Sets the number of processes that share the polling rate.
     void setProcessCount(std::size_t count);
 
-    /// \brief Asks for a poll at \a moment at the latest.
+    /// \brief Requests a poll at \a time at the latest.
     void requestBy(Core::TimePoint time);
 
-    /// \brief Notes that a peer passed the list on, so that this process need not poll for want of news.
+    /// \brief Records that a peer sent the list, so that this process need not poll because of missing updates.
     void recordPeerUpdate();
 
 private:
@@ -36,7 +36,7 @@
     Store::HostList &m_hosts;
     EventLoop::Loop &m_loop;
     Decisions::FeedPoller m_poller;
-    Decisions::Backoff m_backoff; ///< A poll that failed is tried again, not left to others.
+    Decisions::Backoff m_backoff; ///< Delay of the retry after a failed poll, which is not left to other processes.
     ListCallback m_received;
     EventLoop::Timer m_timer;
     std::shared_ptr<bool> m_alive;
--- a/src/libs/control/hostlisttask.cpp
+++ b/src/libs/control/hostlisttask.cpp
@@ -88,7 +88,7 @@
 {
     const Core::TimePoint now = m_loop.now();
     for (const Decisions::SendHostChanges &message : m_gossip.advance(m_channel.peers(), now)) {
-        // A peer that cannot be reached costs one message of many; another is drawn next time.
+        // An unreachable peer costs one message of many; the next round chooses other peers.
         static_cast<void>(m_channel.sendToPeer(message.peer, toWire(message.changes)));
     }
     if (const auto next = m_gossip.nextDeadline(now)) {
--- a/src/libs/control/hostlisttask.h
+++ b/src/libs/control/hostlisttask.h
@@ -10,38 +10,38 @@
 
 namespace Verbena::Control {
 
-/// \brief How a process keeps its copy of the host list.
+/// \brief Options of the polling and gossip of the host list in one process.
 struct HostListTaskOptions
 {
     Decisions::HostGossipOptions gossip;
-    /// All processes of a deployment poll together at this rate; the rest is heard from peers.
+    /// All processes of a deployment together poll at this rate; other changes arrive from peers.
     Decisions::FeedPollerOptions poller{.pollsPerSecond = 2,
         .minimumInterval = std::chrono::milliseconds(1'000),
         .silenceLimit = std::chrono::hours(1),
         .silentInterval = std::chrono::hours(1)};
-    std::chrono::milliseconds startSpread{5'000}; ///< The first list is asked for within this: a herd of 3,000 makes 600 reads a second.
-    std::uint64_t seed = 0; ///< Another one in each process.
+    std::chrono::milliseconds startSpread{5'000}; ///< Window in which the first list is requested; 3,000 processes that start at once make 600 reads a second.
+    std::uint64_t seed = 0; ///< Must differ between processes.
 };
 
-/// \brief Keeps the host list of one process: polls it at its part of a common rate, and hears and passes on changes.
+/// \brief Maintains the host list of one process: polls it at a share of the common rate, and exchanges changes with peers.
 class HostListTask
 {
 public:
-    /// \brief Starts at once. \a platform and \a channel have to live longer.
+    /// \brief Starts at once. \a platform and \a channel must outlive this object.
     HostListTask(Store::HostList &platform, EventLoop::Loop &loop, SettingsTree::PeerChannel &channel, const HostListTaskOptions &options);
     ~HostListTask();
 
-    /// \brief Takes a message that isHostMessage().
+    /// \brief Handles a message for which isHostMessage() is true.
     void receiveFromPeer(const verbena::wire::Envelope &message);
     static bool isHostMessage(const verbena::wire::Envelope &message);
 
-    /// \brief Takes the number of processes that poll together.
+    /// \brief Sets the number of processes that share the polling rate.
     void setProcessCount(std::size_t count);
 
-    /// \brief Called from the loop whenever hosts() changed.
+    /// \brief Sets a callback that is called from the loop whenever hosts() changed.
     void setChangedCallback(std::function<void()> callback);
 
-    /// \brief What Membership::setHostList() takes, with the present moment.
+    /// \brief Returns the hosts for Membership::setHostList(), to be passed with the current time.
     std::vector<Store::HostEntry> hosts() const;
 
 private:
--- a/src/libs/control/leasemanager.cpp
+++ b/src/libs/control/leasemanager.cpp
@@ -8,7 +8,7 @@
 
 namespace {
 
-// New weights load slowly when more hosts than this load them at once.
+// Maximum number of hosts that load weights at once; with more, each of them loads slowly.
 constexpr int weightPermitCount = 3;
 
 } // namespace
--- a/src/libs/control/leasemanager.h
+++ b/src/libs/control/leasemanager.h
@@ -9,23 +9,23 @@
 
 namespace Verbena::Control {
 
-/// \brief Acquires, renews and gives back one lease in the platform's table; drives a Lease on an event loop.
+/// \brief Acquires, renews and releases one lease in the platform's table by running a Lease on an event loop.
 class LeaseManager
 {
 public:
-    /// \brief Uses \a table, which has to live longer. \a changed is called from the loop when lease() may say something else.
+    /// \brief Uses \a table, which must outlive this object. \a changedCallback is called from the loop when lease() was acquired or lost.
     LeaseManager(Store::TableService &table, EventLoop::Loop &loop, Decisions::Lease lease, std::function<void()> changedCallback);
     ~LeaseManager();
 
-    /// \brief The lease "leases/<name>".
+    /// \brief Returns the lease on the row "leases/<name>".
     static Decisions::Lease namedLease(const Decisions::LeaseOptions &options, const std::string &name, const std::string &owner, std::uint64_t seed);
 
-    /// \brief One of the permits to load weights, "permits/weights/1" to "permits/weights/3".
+    /// \brief Returns a lease on one of the permits to load weights, "permits/weights/1" to "permits/weights/3".
     static Decisions::Lease weightPermit(const Decisions::LeaseOptions &options, const std::string &owner, std::uint64_t seed);
 
     void setWanted(bool isWanted);
 
-    /// \brief The lease. Ask it with the present moment right before each action under it.
+    /// \brief Returns the lease. Check isHeld() with the current time right before each action that needs the lease.
     const Decisions::Lease &lease() const;
 
 private:
--- a/src/libs/control/tableclaimservice.cpp
+++ b/src/libs/control/tableclaimservice.cpp
@@ -6,7 +6,7 @@
 
 namespace {
 
-// A duplicate is told that the request ran, not what it answered; the status stands for that.
+// Duplicates are told that the request ran but not its answer; this status is recorded in its place.
 constexpr int ranStatus = 200;
 
 } // namespace
@@ -20,7 +20,7 @@
 void TableClaimService::claim(const Router::Claim &claim, Core::TimePoint deadline, Callback done)
 {
     const ClaimRequest request{claim.organisation, claim.team, claim.key, 0, deadline};
-    // The result comes from the loop, when the id is known.
+    // The result arrives from the loop, after the id has been stored.
     auto id = std::make_shared<ClaimId>();
     *id = m_manager.claim(
         request, [this, id, name = claim.request, done = std::move(done)](const ClaimResult &result) { receiveResult(name, *id, result, done); });
@@ -30,7 +30,7 @@
 {
     switch (result.verdict) {
     case ClaimVerdict::Granted:
-        // The process may have slept since the claim was written.
+        // The process may have been paused since the claim was written.
         if (!m_manager.mayDispatch(id)) {
             m_manager.release(id);
             done({Router::ClaimOutcome::Unavailable, RunState::Unknown});
--- a/src/libs/control/tableclaimservice.h
+++ b/src/libs/control/tableclaimservice.h
@@ -13,7 +13,7 @@
 class TableClaimService : public Router::ClaimService
 {
 public:
-    /// \brief Uses \a table, which has to live longer. \a owner and \a seed: see ClaimLedger.
+    /// \brief Uses \a table, which must outlive this object. \a owner and \a seed: see ClaimRegistry.
     TableClaimService(Store::TableService &table, EventLoop::Loop &loop, const Decisions::ClaimOptions &options, const std::string &owner, std::uint64_t seed);
 
     void claim(const Router::Claim &claim, Core::TimePoint deadline, Callback done) override;
@@ -23,7 +23,7 @@
     void receiveResult(const std::string &request, Decisions::ClaimId id, const Decisions::ClaimResult &result, const Callback &done);
 
     ClaimManager m_manager;
-    std::unordered_map<std::string, Decisions::ClaimId> m_granted; ///< By id of the request.
+    std::unordered_map<std::string, Decisions::ClaimId> m_granted; ///< Granted claims by request id.
 };
 
 } // namespace Verbena::Control
--- a/src/libs/decisions/control/backoff.cpp
+++ b/src/libs/decisions/control/backoff.cpp
@@ -23,7 +23,7 @@
         bound *= 2;
     }
     ++m_failures;
-    // Full jitter: callers that failed together come back spread over the whole span.
+    // Full jitter spreads the retries of callers that failed together over the whole interval.
     const std::chrono::duration<double, std::milli> delay = std::min(bound, m_options.maximumDelay) * m_random.uniform();
     m_notBefore = now + std::chrono::duration_cast<Core::Clock::duration>(delay);
 }
--- a/src/libs/decisions/control/backoff.h
+++ b/src/libs/decisions/control/backoff.h
@@ -8,23 +8,25 @@
 
 namespace Verbena::Decisions {
 
-/// \brief How long a caller stays away after failures.
+/// \brief Delays between the attempts of a caller whose calls fail.
 struct BackoffOptions
 {
-    std::chrono::milliseconds initialDelay{100}; ///< Upper bound after one failure; doubles with each further one.
-    std::chrono::milliseconds maximumDelay{10'000};
+    std::chrono::milliseconds initialDelay{100}; ///< Maximum delay after the first failure; doubles with each further failure.
+    std::chrono::milliseconds maximumDelay{10'000}; ///< Limit of the doubling.
 };
 
-/// \brief Keeps a caller away from a service that fails, by exponential backoff with full jitter.
+/// \brief Delays the calls to a failing service by exponential backoff with full jitter.
 class Backoff
 {
 public:
     Backoff(const BackoffOptions &options, std::uint64_t seed);
 
+    /// \brief Resets the delay.
     void recordSuccess();
+    /// \brief Chooses a random delay after a failure at \a now and doubles the bound for the next one.
     void recordFailure(Core::TimePoint now);
 
-    /// \brief Before this moment nothing should be sent.
+    /// \brief Returns the time before which nothing should be sent.
     Core::TimePoint notBefore() const;
 
 private:
@@ -34,9 +36,9 @@
     Core::TimePoint m_notBefore;
 };
 
-/// \brief When a starting process first reads the store, if \a processCount may start at once.
+/// \brief Returns the time at which a process that starts at \a start first reads the store, if \a processCount processes may start at once.
 ///
-/// The moment is drawn so that together they stay below \a readsPerSecond, each reading \a readsPerStart times.
+/// The time is random, so that all processes together stay below \a readsPerSecond when each reads \a readsPerStart times.
 Core::TimePoint firstStoreReadTime(Core::TimePoint start, std::size_t processCount, std::uint32_t readsPerStart, double readsPerSecond, std::uint64_t seed);
 
 } // namespace Verbena::Decisions
--- a/src/libs/decisions/control/claimrecord.cpp
+++ b/src/libs/decisions/control/claimrecord.cpp
@@ -29,7 +29,7 @@
     return error == std::errc() && end == text.data() + text.size() ? std::optional(number) : std::nullopt;
 }
 
-// The first lines of text, and behind them one item with all the rest.
+// Returns the first \a count lines of \a text, followed by one item with the remaining text.
 std::vector<std::string> splitLines(const std::string &text, std::size_t count)
 {
     std::vector<std::string> items;
--- a/src/libs/decisions/control/claimrecord.h
+++ b/src/libs/decisions/control/claimrecord.h
@@ -9,7 +9,7 @@
 
 namespace Verbena::Decisions {
 
-/// \brief What the first run of a claimed request gave, as a duplicate gets it.
+/// \brief The outcome of the first run of a claimed request, with which duplicates are answered.
 struct ClaimOutcome
 {
     int status = 0; ///< HTTP status.
@@ -20,18 +20,19 @@
 /// \brief The content of the row of a claim.
 struct ClaimRecord
 {
-    std::string token; ///< Of the process and attempt that holds the claim; unique.
-    std::uint64_t requestHash = 0; ///< Tells another request under the same key from a duplicate.
-    Core::WallTime expiry; ///< After this the key may be used anew.
-    std::optional<ClaimOutcome> outcome; ///< Nothing while it is not known.
+    std::string token; ///< Unique token of the process and attempt that hold the claim.
+    std::uint64_t requestHash = 0; ///< Hash that distinguishes a duplicate from another request under the same key.
+    Core::WallTime expiry; ///< Time after which the key may be used again.
+    std::optional<ClaimOutcome> outcome; ///< Empty while the outcome is unknown.
 
+    /// \brief Returns the value of the row.
     std::string encode() const;
 
-    /// \brief Reads a row's value. Errors: InvalidArgument.
+    /// \brief Parses the value of a row. Errors: InvalidArgument.
     static Core::Result<ClaimRecord> decode(const std::string &text);
 };
 
-/// \brief The key of the row for a caller's idempotency key.
+/// \brief Returns the key of the table row for a caller's idempotency key.
 std::string claimRowKey(const std::string &organisation, const std::string &team, const std::string &idempotencyKey);
 
 } // namespace Verbena::Decisions
--- a/src/libs/decisions/control/claimregistry.cpp
+++ b/src/libs/decisions/control/claimregistry.cpp
@@ -38,7 +38,7 @@
     return id;
 }
 
-// What this process knows by itself spares the table.
+// Answers from the claims and updates of this process without an operation on the table.
 std::optional<ClaimResult> ClaimRegistry::localResult(const std::string &rowKey, std::uint64_t requestHash) const
 {
     const auto same = m_idsByRow.find(rowKey);
@@ -108,7 +108,7 @@
         return;
     }
     m_batchLimit = m_options.batchRows;
-    // From the back, so that what goes in front of a queue again keeps its order.
+    // Iterates backwards, because requeue() inserts at the front and the order has to be kept.
     for (auto id = ids.rbegin(); id != ids.rend(); ++id) {
         Claim *claim = find(*id);
         if (claim == nullptr) {
@@ -130,8 +130,8 @@
     }
 }
 
-// One claim that was taken by somebody else fails its whole batch. Each round settles those that the table names, and
-// the innocent ones go again without them.
+// A single conflicting claim fails its whole batch. The claims that the answer names are decided; the others are committed again
+// without them.
 void ClaimRegistry::handleConflict(const std::vector<ClaimId> &ids, const std::vector<Store::TableRow> &current, const ClockReading &reading)
 {
     bool isAnyNamed = false;
@@ -171,7 +171,7 @@
     }
 }
 
-// What the table shows of a claim: ours, somebody else's, or nothing that stands in its way.
+// Decides a claim by its row in the table: the row holds this claim, or a claim of another request, or leaves the key free.
 void ClaimRegistry::applyRow(Claim &claim, const Store::TableRow *row, const ClockReading &reading)
 {
     if (row == nullptr || row->isDeleted) {
@@ -202,7 +202,7 @@
     claim.mayBeWritten = true;
     if (claim.deadline <= now) {
         withdraw(claim, now);
-        finish(claim.id, ClaimResult::notClaimed("The claim came too late."));
+        finish(claim.id, ClaimResult::notClaimed("The claim was committed after its deadline."));
         return;
     }
     claim.phase = Phase::Granted;
@@ -227,7 +227,7 @@
     beginCommits(reading.now);
 }
 
-// Also those that nothing will be sent for before their deadline: there is no sense in letting their callers wait.
+// Includes claims for which the backoff permits no operation before their deadline, so that their callers need not wait in vain.
 void ClaimRegistry::expireClaims(Core::TimePoint now)
 {
     const Core::TimePoint limit = std::max(now, m_backoff.notBefore());
@@ -240,11 +240,11 @@
             continue;
         }
         if (isPending) {
-            // A write whose fate is not known is fenced off; the request itself was never dispatched.
+            // The withdrawal also prevents a commit that is still on its way from taking effect. The request was never dispatched.
             if (claim->mayBeWritten || claim->phase != Phase::Waiting) {
                 withdraw(*claim, now);
             }
-            finish(claim->id, ClaimResult::notClaimed("The table did not take the claim in time."));
+            finish(claim->id, ClaimResult::notClaimed("The claim could not be committed to the table in time."));
         }
         entry = m_deadlines.erase(entry);
     }
@@ -252,7 +252,7 @@
 
 void ClaimRegistry::beginCommits(Core::TimePoint now)
 {
-    // In turns, so that neither starves the other.
+    // Alternates between updates and claims, so that neither starves the other.
     const bool isUpdateFirst = !m_wasUpdateLast;
     if (isUpdateFirst && beginUpdateCommit(now)) {
         return;
@@ -322,7 +322,7 @@
     m_actions.emplace_back(std::move(read));
 }
 
-// A queue may name claims that were decided meanwhile; they are passed over.
+// A queue may contain claims that were decided in the meantime; they are skipped.
 std::vector<ClaimId> ClaimRegistry::takeQueued(std::deque<ClaimId> &queue, Phase phase, Phase nextPhase, std::size_t limit)
 {
     std::vector<ClaimId> ids;
--- a/src/libs/decisions/control/claimregistry.h
+++ b/src/libs/decisions/control/claimregistry.h
@@ -14,45 +14,45 @@
 
 /// \brief Claims requests that may run at most once, by a conditional write before they are dispatched.
 ///
-/// Call advance() after every event and at nextDeadline(), and carry out what takeActions() gives.
+/// Call advance() after every event and at nextDeadline(), and execute the actions that takeActions() returns.
 class ClaimRegistry
 {
 public:
-    /// \brief \a owner names the process, \a seed has to differ between any two starts: both go into the tokens.
+    /// \brief \a owner is the name of the process. \a seed must differ between any two starts. Both are part of the tokens of claims.
     ClaimRegistry(const ClaimOptions &options, std::string owner, std::uint64_t seed, Core::TimePoint now);
 
-    /// \brief Asks for a claim; ClaimDecided tells what became of it, once.
+    /// \brief Requests a claim. Its result is reported once by ReportClaimResult.
     ClaimId claim(const ClaimRequest &request, const ClockReading &reading);
 
-    /// \brief False once the time to dispatch has passed. To be asked right before the dispatch.
+    /// \brief Returns true while a granted claim may be dispatched. Call it right before the dispatch.
     bool mayDispatch(ClaimId id, Core::TimePoint now) const;
 
-    /// \brief Notes what the run of a granted claim gave, for duplicates.
+    /// \brief Records the outcome of the run of a granted claim, so that duplicates can be answered with it.
     void recordOutcome(ClaimId id, const ClaimOutcome &outcome, Core::TimePoint now);
 
-    /// \brief Withdraws a granted claim whose request truly did not run, so that the key may be used again.
+    /// \brief Withdraws a granted claim whose request certainly did not run, so that the key may be used again.
     void release(ClaimId id, Core::TimePoint now);
 
-    /// \brief Ends the claim without an outcome: whether it ran cannot be known.
+    /// \brief Ends a granted claim without an outcome, because it is unknown whether the request ran.
     void abandon(ClaimId id);
 
     void handleCommit(OperationId id, const Store::CommitAnswer &answer, const ClockReading &reading);
     void handleRows(OperationId id, const Core::Result<std::vector<Store::TableRow>> &rows, const ClockReading &reading);
 
-    /// \brief Lets time pass and begins operations that are due.
+    /// \brief Ends claims that are late and begins operations that are due.
     void advance(const ClockReading &reading);
 
-    /// \brief What has to be done, in order; each action is given once.
+    /// \brief Returns the actions to execute, in order, and removes them from the registry.
     std::vector<ClaimAction> takeActions();
 
-    /// \brief When advance() has something to do without an event.
+    /// \brief Returns when advance() is due if no event occurs before.
     std::optional<Core::TimePoint> nextDeadline(Core::TimePoint now) const;
 
 private:
     enum class Phase {
-        Waiting, ///< To be written.
+        Waiting, ///< Queued for a commit.
         Committing,
-        Uncertain, ///< Written or not: to be read back.
+        Uncertain, ///< The commit may have taken effect; queued for a read.
         Reading,
         Granted,
     };
@@ -66,7 +66,7 @@
         Core::TimePoint deadline;
         Core::TimePoint dispatchBy;
         Phase phase = Phase::Waiting;
-        bool mayBeWritten = false; ///< A commit was sent whose fate is not known.
+        bool mayBeWritten = false; ///< A commit was sent that may have taken effect or may still do so.
     };
 
     Claim *find(ClaimId id);
--- a/src/libs/decisions/control/claimsweeper.cpp
+++ b/src/libs/decisions/control/claimsweeper.cpp
@@ -20,7 +20,7 @@
         return ReadSweepCursor{deadline};
     }
     if (!m_removals.empty()) {
-        // The cursor goes with the removals, so that it never says more than was done.
+        // The cursor is committed with the removals, so that it never runs ahead of them.
         std::vector<Store::RowWrite> writes = std::exchange(m_removals, {});
         writes.push_back({cursorRow, std::to_string(m_nextCursor), m_cursorRevision});
         return RemoveClaims{std::move(writes), deadline};
@@ -38,7 +38,7 @@
     m_cursorRevision = 0;
     if (!rows.value().empty()) {
         const Store::TableRow &row = rows.value().front();
-        // A cursor that cannot be read costs a sweep from the beginning.
+        // If the cursor cannot be parsed, the sweep starts from the beginning.
         std::from_chars(row.value.data(), row.value.data() + row.value.size(), cursor);
         m_cursorRevision = row.revision;
     }
@@ -57,7 +57,7 @@
     for (const Store::TableRow &row : rows.value()) {
         if (!row.isDeleted) {
             const auto record = ClaimRecord::decode(row.value);
-            // What lies behind a claim that lives was written later, and lives longer.
+            // Claims after one that has not expired were written later and expire later.
             if (record && record.value().expiry + m_options.clockSkew > reading.wall) {
                 isEndReached = true;
                 break;
@@ -79,7 +79,7 @@
         m_cursor = m_nextCursor;
         m_cursorRevision = answer.revision;
     } else if (answer.outcome != Store::CommitOutcome::NotSent) {
-        // Somebody changed a row, or the answer was lost: the table tells.
+        // A row was changed by another process, or the answer was lost: read the table again.
         restart();
     }
     finishStep(now + m_options.busyInterval);
--- a/src/libs/decisions/control/claimsweeper.h
+++ b/src/libs/decisions/control/claimsweeper.h
@@ -12,23 +12,23 @@
 
 namespace Verbena::Decisions {
 
-/// \brief How expired claims are removed.
+/// \brief Intervals and limits of a ClaimSweeper.
 struct ClaimSweeperOptions
 {
-    std::chrono::minutes clockSkew{10}; ///< A claim is removed this long after its expiry, later than anybody may take it for live.
-    std::chrono::milliseconds busyInterval{1'000}; ///< Between two pages while there is something to remove.
-    std::chrono::milliseconds idleInterval{60'000};
+    std::chrono::minutes clockSkew{10}; ///< Time from the expiry of a claim to its removal; longer than any process may consider it valid.
+    std::chrono::milliseconds busyInterval{1'000}; ///< Interval between two pages while there are claims to remove.
+    std::chrono::milliseconds idleInterval{60'000}; ///< Interval between two pages if nothing more has expired.
     std::chrono::milliseconds operationTimeout{2'000};
     std::size_t pageRows = 500;
 };
 
-/// \brief Asks for the row that says how far the last sweep came; the answer goes to takeCursor().
+/// \brief Requests the row with the revision that the last sweep reached; pass the answer to ClaimSweeper::handleCursor().
 struct ReadSweepCursor
 {
     Core::TimePoint deadline;
 };
 
-/// \brief Asks for the oldest claims that were not swept yet; the answer goes to takePage().
+/// \brief Requests the oldest claims that have not been swept yet; pass the answer to ClaimSweeper::handlePage().
 struct ScanClaims
 {
     std::uint64_t sinceRevision = 0;
@@ -36,7 +36,7 @@
     Core::TimePoint deadline;
 };
 
-/// \brief Asks for a commit; the answer goes to takeCommit().
+/// \brief Requests a commit; pass the answer to ClaimSweeper::handleCommit().
 struct RemoveClaims
 {
     std::vector<Store::RowWrite> writes;
@@ -45,9 +45,9 @@
 
 using SweepAction = std::variant<ReadSweepCursor, ScanClaims, RemoveClaims>;
 
-/// \brief Removes claims whose time is over, oldest first; one process at a time does it, under a lease.
+/// \brief Removes expired claims, oldest first, in one process at a time that holds a lease.
 ///
-/// A second one at the same time would do no harm: each removal names the revision that it saw.
+/// Two sweepers at the same time do no harm, because each removal is conditional on the revision that was read.
 class ClaimSweeper
 {
 public:
@@ -56,17 +56,17 @@
 
     explicit ClaimSweeper(const ClaimSweeperOptions &options = {});
 
-    /// \brief The next operation, if one is due; there is at most one under way.
+    /// \brief Returns the next operation if one is due. At most one operation is pending at a time.
     std::optional<SweepAction> advance(Core::TimePoint now);
 
     void handleCursor(const Core::Result<std::vector<Store::TableRow>> &rows, Core::TimePoint now);
     void handlePage(const Core::Result<std::vector<Store::TableRow>> &rows, const ClockReading &reading);
     void handleCommit(const Store::CommitAnswer &answer, Core::TimePoint now);
 
-    /// \brief Forgets what was read; for a process that got the lease anew.
+    /// \brief Discards the cursor and pending removals. Call it when the lease was acquired again.
     void restart();
 
-    /// \brief When advance() has something to do; nothing while an operation is under way.
+    /// \brief Returns when advance() is due; empty while an operation is pending.
     std::optional<Core::TimePoint> nextDeadline() const;
 
 private:
@@ -74,7 +74,7 @@
 
     ClaimSweeperOptions m_options;
     bool m_isOperationPending = false;
-    std::optional<std::uint64_t> m_cursor; ///< All up to this revision is swept; nothing until it was read.
+    std::optional<std::uint64_t> m_cursor; ///< Revision up to which all claims are swept; empty until it was read.
     std::optional<std::uint64_t> m_cursorRevision;
     std::uint64_t m_nextCursor = 0;
     std::vector<Store::RowWrite> m_removals;
--- a/src/libs/decisions/control/claimtypes.h
+++ b/src/libs/decisions/control/claimtypes.h
@@ -9,46 +9,46 @@
 
 namespace Verbena::Decisions {
 
-/// \brief Names a claim of one ledger.
+/// \brief Identifier of a claim within one registry.
 enum class ClaimId : std::uint64_t {};
 
-/// \brief Names an operation on the table that a ledger asked for.
+/// \brief Identifier of a table operation that a registry requested.
 enum class OperationId : std::uint64_t {};
 
-/// \brief A request that may run at most once, with the key that its caller gave.
+/// \brief A request that may run at most once, with the idempotency key of its caller.
 struct ClaimRequest
 {
     std::string organisation;
     std::string team;
     std::string idempotencyKey;
-    std::uint64_t requestHash = 0; ///< Of path and body.
-    Core::TimePoint deadline; ///< Of the request.
+    std::uint64_t requestHash = 0; ///< Hash of path and body.
+    Core::TimePoint deadline; ///< Deadline of the request.
 };
 
-/// \brief What became of a claim.
+/// \brief The decision on a claim.
 enum class ClaimVerdict {
-    Granted, ///< Ours: dispatch once, before ClaimResult::dispatchBy.
-    Duplicate, ///< The key was claimed before: give the outcome, or say "unknown" if there is none.
-    NotClaimed, ///< Nobody will run it under this claim: a true "not run".
+    Granted, ///< The request may be dispatched once, before ClaimResult::dispatchBy.
+    Duplicate, ///< The key was claimed before. Answer with the recorded outcome, or with "unknown" if there is none.
+    NotClaimed, ///< No process will run the request under this claim, so the answer "not run" is correct.
 };
 
-/// \brief The answer to a claim.
+/// \brief The result of a claim.
 struct ClaimResult
 {
     ClaimVerdict verdict = ClaimVerdict::NotClaimed;
-    Core::TimePoint dispatchBy; ///< If granted. A holder that wakes up later must not dispatch.
-    std::optional<ClaimOutcome> outcome; ///< Of a duplicate's first run.
-    bool isSameRequest = true; ///< False if the key was used for another request: its outcome is not this caller's answer.
-    std::string detail; ///< A sentence for people.
+    Core::TimePoint dispatchBy; ///< Latest dispatch of a granted claim; a process that was paused beyond this time must not dispatch.
+    std::optional<ClaimOutcome> outcome; ///< Outcome of the first run, for a duplicate.
+    bool isSameRequest = true; ///< False if the key was used for another request, whose outcome must not be given to this caller.
+    std::string detail; ///< Explanation for human readers.
 
     static ClaimResult duplicate(const ClaimRecord &first, std::uint64_t requestHash);
     static ClaimResult notClaimed(const char *detail);
 };
 
-/// \brief The row with \a key among \a rows, or null.
+/// \brief Returns the row with \a key in \a rows, or null.
 const Store::TableRow *findRow(const std::vector<Store::TableRow> &rows, const std::string &key);
 
-/// \brief Asks for a commit; the answer goes to handleCommit().
+/// \brief Requests a commit; pass its answer to ClaimRegistry::handleCommit().
 struct CommitRows
 {
     OperationId id{};
@@ -56,7 +56,7 @@
     Core::TimePoint deadline;
 };
 
-/// \brief Asks for a read; the answer goes to handleRows().
+/// \brief Requests a read; pass its answer to ClaimRegistry::handleRows().
 struct ReadRows
 {
     OperationId id{};
@@ -64,7 +64,7 @@
     Core::TimePoint deadline;
 };
 
-/// \brief Tells what became of a claim.
+/// \brief Reports the result of a claim to its caller.
 struct ReportClaimResult
 {
     ClaimId id{};
@@ -73,18 +73,18 @@
 
 using ClaimAction = std::variant<CommitRows, ReadRows, ReportClaimResult>;
 
-/// \brief Spans and bounds of a ledger.
+/// \brief Timeouts and limits of a ClaimRegistry.
 struct ClaimOptions
 {
-    std::chrono::milliseconds decisionTimeout{3'000}; ///< A claim that is not decided by then is not claimed.
+    std::chrono::milliseconds decisionTimeout{3'000}; ///< A claim that is undecided after this time ends as NotClaimed.
     std::chrono::milliseconds operationTimeout{1'000};
-    std::chrono::milliseconds dispatchWindow{30'000}; ///< From the claim to the latest dispatch.
-    std::chrono::hours lifetime{24}; ///< For so long a key cannot be used anew.
-    std::chrono::minutes clockSkew{5}; ///< Between the wall clocks of any two hosts, at most.
-    std::chrono::milliseconds updateTimeout{60'000}; ///< For so long outcomes and withdrawals are tried.
-    double writesPerSecond = 20; ///< Commits of this process.
-    double readsPerSecond = 20;
-    std::size_t batchRows = 64; ///< Rows of one commit.
+    std::chrono::milliseconds dispatchWindow{30'000}; ///< Time from the claim to the latest dispatch.
+    std::chrono::hours lifetime{24}; ///< Time during which a key cannot be used again.
+    std::chrono::minutes clockSkew{5}; ///< Maximum difference between the wall clocks of any two hosts.
+    std::chrono::milliseconds updateTimeout{60'000}; ///< Time during which the commit of an outcome or withdrawal is retried.
+    double writesPerSecond = 20; ///< Commits of this process per second.
+    double readsPerSecond = 20; ///< Reads of this process per second.
+    std::size_t batchRows = 64; ///< Maximum number of rows of one commit.
 };
 
 } // namespace Verbena::Decisions
--- a/src/libs/decisions/control/claimupdates.cpp
+++ b/src/libs/decisions/control/claimupdates.cpp
@@ -44,7 +44,7 @@
 {
     std::vector<Update> updates;
     updates.swap(m_committing);
-    // From the back, so that what is put in front again keeps its order.
+    // Iterates backwards, because requeue() inserts at the front and the order has to be kept.
     for (auto update = updates.rbegin(); update != updates.rend(); ++update) {
         switch (answer.outcome) {
         case Store::CommitOutcome::Committed:
@@ -55,7 +55,7 @@
             break;
         case Store::CommitOutcome::Unknown:
         case Store::CommitOutcome::NotSent:
-            // Repeatable: if it took effect after all, the next try meets a conflict that shows it.
+            // Safe to repeat: if the commit took effect after all, the next one ends in a conflict that shows the new row.
             requeue(std::move(*update));
             break;
         }
@@ -80,7 +80,7 @@
         requeue(std::move(update));
         return;
     }
-    // It took effect before, or the row is not ours any more.
+    // The update took effect before, or the row no longer belongs to this claim.
     m_values.erase(update.rowKey);
 }
 
--- a/src/libs/decisions/control/claimupdates.h
+++ b/src/libs/decisions/control/claimupdates.h
@@ -7,35 +7,35 @@
 
 namespace Verbena::Decisions {
 
-/// \brief Writes behind claims that are decided: outcomes of runs, and withdrawals of claims that nobody will run.
+/// \brief Queue of updates to rows of decided claims: outcomes of runs, and withdrawals of claims that no process will run.
 ///
-/// Best effort: what cannot be written in time is dropped, and the claim reads as one without an outcome until it expires.
+/// Updates that cannot be committed in time are dropped. The row then shows a claim without an outcome until it expires.
 class ClaimUpdates
 {
 public:
-    /// \brief A change to a row that carries our token.
+    /// \brief A change to a row that holds a token of this process.
     struct Update
     {
         std::string rowKey;
         std::string token;
-        std::optional<std::string> value; ///< Nothing withdraws the claim.
-        std::uint64_t expectedRevision = 0; ///< 0 also fences off a first write that may still be on its way.
+        std::optional<std::string> value; ///< An empty value withdraws the claim.
+        std::uint64_t expectedRevision = 0; ///< 0 also makes a first commit fail that may still be on its way.
         Core::TimePoint deadline;
     };
 
     void add(Update update);
     bool isWaiting() const;
 
-    /// \brief True while an update for the row is waiting or under way.
+    /// \brief Returns true while an update of the row is queued or being committed.
     bool contains(const std::string &rowKey) const;
 
-    /// \brief The latest value on its way for the row, if there is one.
+    /// \brief Returns the value of the latest pending update of the row; empty for a withdrawal or if there is no update.
     std::optional<std::string> valueFor(const std::string &rowKey) const;
 
-    /// \brief Drops what is late and begins a commit of up to \a limit rows.
+    /// \brief Drops updates whose deadline has passed and returns the writes of a commit of up to \a limit rows.
     std::vector<Store::RowWrite> beginCommit(std::size_t limit, Core::TimePoint now);
 
-    /// \brief Takes the answer to the commit begun last.
+    /// \brief Handles the answer to the commit that was begun last.
     void handleCommit(const Store::CommitAnswer &answer);
 
 private:
--- a/src/libs/decisions/control/clockreading.h
+++ b/src/libs/decisions/control/clockreading.h
@@ -4,7 +4,7 @@
 
 namespace Verbena::Decisions {
 
-/// \brief Both clocks of a process, read together: one for its own deadlines, one for what other hosts read.
+/// \brief A simultaneous reading of both clocks: the monotonic one for local deadlines and the wall clock for times that other hosts read.
 struct ClockReading
 {
     Core::TimePoint now;
--- a/src/libs/decisions/control/hostgossip.cpp
+++ b/src/libs/decisions/control/hostgossip.cpp
@@ -7,7 +7,7 @@
 
 namespace {
 
-// What a change takes on the wire besides its texts, roughly.
+// Approximate encoded size of a change without its strings, in bytes.
 constexpr std::size_t changeOverheadBytes = 24;
 
 int stateRank(const HostChange &change)
@@ -45,12 +45,12 @@
     }
     std::vector<HostChange> gone;
     for (const auto &[name, entry] : m_hosts) {
-        // A host that a peer told of after this list was asked for may be missing in it.
+        // A host that a peer reported after this list was requested may be missing in the list.
         if (!entry.change.isGone && !listed.contains(name) && entry.recordedAt < fetchedAt) {
             gone.push_back({entry.change.host, true});
         }
     }
-    // An empty list is taken for a fault of the platform.
+    // An empty list is treated as a fault of the platform.
     for (const HostChange &change : hosts.empty() ? std::vector<HostChange>() : gone) {
         isChanged = apply(change, now) || isChanged;
     }
@@ -95,7 +95,7 @@
     }
     entry.change = change;
     entry.recordedAt = now;
-    // Everybody fetches a first list for himself; it is no news.
+    // Each process fetches its first list itself, so it need not be sent.
     if (m_isComplete) {
         queueUpdate(change.host.name);
     }
@@ -137,7 +137,7 @@
     return messages;
 }
 
-// The newest first; what has rounds left goes behind what has not been sent yet.
+// Newest updates first. Updates with rounds left are queued behind those that have not been sent yet.
 std::vector<HostChange> HostGossip::takeBatch()
 {
     std::vector<HostChange> changes;
--- a/src/libs/decisions/control/hostgossip.h
+++ b/src/libs/decisions/control/hostgossip.h
@@ -16,57 +16,57 @@
 
 namespace Verbena::Decisions {
 
-/// \brief A host as processes pass it on.
+/// \brief The state of a host as processes send it to each other.
 struct HostChange
 {
     Store::HostEntry host;
     bool isGone = false;
 };
 
-/// \brief Asks to send changes to a peer.
+/// \brief Requests sending changes to a peer.
 struct SendHostChanges
 {
     std::string peer;
     std::vector<HostChange> changes;
 };
 
-/// \brief How changes of the host list are passed on.
+/// \brief Rates and limits of the gossip about the host list.
 struct HostGossipOptions
 {
-    std::size_t fanout = 4; ///< Peers that get a change at a time.
-    std::uint32_t rounds = 2; ///< So often each process passes a change on.
+    std::size_t fanout = 4; ///< Number of peers that receive a change in each round.
+    std::uint32_t rounds = 2; ///< Number of rounds in which each process sends a change.
     std::chrono::milliseconds roundInterval{500};
     std::size_t changesPerMessage = 32;
-    std::size_t bytesPerSecond = 2'000; ///< Of all messages of this process; bounds what a large change costs.
+    std::size_t bytesPerSecond = 2'000; ///< Limit for all messages of this process; bounds the cost of a large change.
     std::size_t burstBytes = 32'000;
-    std::chrono::hours goneRetention{1}; ///< For so long older news of a host that is gone are told from new ones.
+    std::chrono::hours goneRetention{1}; ///< Time during which a removed host is remembered, so that older updates about it are recognised as outdated.
 };
 
-/// \brief The host list of a process, from its own polls and from what peers pass on.
+/// \brief The host list of a process, merged from its own polls and from updates of its peers, and the updates to send on.
 ///
-/// Changes merge in any order to the same result: the highest incarnation of a name counts, and one incarnation only goes from
-/// live to leaving to gone.
+/// Changes merge to the same result in any order: the highest incarnation of a name wins, and within one incarnation the state only
+/// advances from live to leaving to gone.
 class HostGossip
 {
 public:
     HostGossip(const HostGossipOptions &options, std::uint64_t seed, Core::TimePoint now);
 
-    /// \brief Takes a list that this process fetched, having asked at \a fetchedAt. True if hosts() changed.
+    /// \brief Applies a list that this process requested at \a fetchedAt. Returns true if hosts() changed.
     bool applyList(const std::vector<Store::HostEntry> &hosts, Core::TimePoint fetchedAt, Core::TimePoint now);
 
-    /// \brief Takes what a peer passed on. True if hosts() changed.
+    /// \brief Applies changes received from a peer. Returns true if hosts() changed.
     bool applyChanges(const std::vector<HostChange> &changes, Core::TimePoint now);
 
-    /// \brief True once a whole list was taken.
+    /// \brief Returns true once a whole list was applied.
     bool isComplete() const;
 
-    /// \brief The hosts that are not gone.
+    /// \brief Returns the hosts that are not gone, sorted by name.
     std::vector<Store::HostEntry> hosts() const;
 
-    /// \brief What is to be sent at \a now.
+    /// \brief Returns the messages to send at \a now.
     std::vector<SendHostChanges> advance(std::span<const std::string> peers, Core::TimePoint now);
 
-    /// \brief When advance() has something to do.
+    /// \brief Returns when advance() is due; empty if there is nothing to send.
     std::optional<Core::TimePoint> nextDeadline(Core::TimePoint now) const;
 
 private:
--- a/src/libs/decisions/control/lease.cpp
+++ b/src/libs/decisions/control/lease.cpp
@@ -66,7 +66,7 @@
     if (m_held && reading.now >= m_held->heldUntil) {
         markLost();
     }
-    // What became of a write has to be known before anything else is written.
+    // The outcome of the last write must be known before anything else is written.
     if (m_pendingWrite) {
         return read(reading.now);
     }
@@ -106,7 +106,7 @@
     if (m_pendingWrite) {
         const SentWrite sent = *std::exchange(m_pendingWrite, std::nullopt);
         const RowState &state = m_rowStates[sent.row];
-        // The expiry tells a write from earlier ones of the same tenure.
+        // The expiry distinguishes this write from earlier ones of the same tenure.
         if (state.record.token == sent.record.token && state.record.expiry == sent.record.expiry && sent.operation != Operation::Release) {
             confirm(sent, state.revision);
         }
@@ -122,7 +122,7 @@
         confirm(*std::exchange(m_pendingWrite, std::nullopt), answer.revision);
         return;
     case Store::CommitOutcome::Conflict:
-        // The next read tells whether an earlier write of ours or somebody else's stands in the way.
+        // The next read shows whether an earlier write of this process or one of another process caused the conflict.
         m_backoff.recordSuccess();
         m_areRowsFresh = false;
         m_nextAction = {};
@@ -196,8 +196,8 @@
     return send({row, Operation::Acquire, record, reading.now + m_options.duration}, reading.now);
 }
 
-// No number is above the revision of its own commit, so the next one after any of the revisions is above all numbers given
-// so far, also if somebody deleted a row.
+// No fencing number exceeds the revision of its own commit. A number above all revisions is therefore above all numbers assigned so
+// far, even if a row was deleted.
 std::uint64_t Lease::nextFencingNumber() const
 {
     std::uint64_t highest = 0;
@@ -210,7 +210,7 @@
 LeaseAction Lease::renew(const ClockReading &reading)
 {
     LeaseRecord record = m_held->record;
-    // It differs from that of every earlier write of the tenure, so that a read tells them apart.
+    // The expiry differs from that of every earlier write of the tenure, so that a read can distinguish them.
     record.expiry = std::max<Core::WallTime>(record.expiry + milliseconds(1), std::chrono::floor<milliseconds>(reading.wall + m_options.duration));
     return send({m_held->row, Operation::Renew, record, reading.now + m_options.duration}, reading.now);
 }
@@ -220,7 +220,7 @@
     LeaseRecord record;
     record.fencingNumber = m_held->record.fencingNumber;
     const SentWrite sent{m_held->row, Operation::Release, record, {}};
-    // From here on nothing may be done under the lease, whatever becomes of the write.
+    // From here on the lease must not be used, whatever the outcome of the write.
     m_held.reset();
     return send(sent, now);
 }
@@ -266,13 +266,13 @@
     if (lapsed.empty()) {
         return std::nullopt;
     }
-    // Waiters that went for the same row would get in each other's way.
+    // A random row reduces conflicts between processes that wait for the same rows.
     return lapsed[m_random.next() % lapsed.size()];
 }
 
 void Lease::retryLater(Core::TimePoint now)
 {
-    // Thousands may wait for few permits; the longer they have waited, the less often each of them looks.
+    // Thousands of processes may wait for a few permits, so each of them reads less often the longer it has waited.
     milliseconds bound = m_options.retryInterval;
     for (std::uint32_t i = 0; i < m_unsuccessfulReads && bound < m_options.maximumRetryInterval; ++i) {
         bound *= 2;
--- a/src/libs/decisions/control/lease.h
+++ b/src/libs/decisions/control/lease.h
@@ -15,35 +15,36 @@
 /// \brief The content of the row of a lease.
 struct LeaseRecord
 {
-    std::uint64_t fencingNumber = 0; ///< Of the latest holder; only ever goes up, also over the rows of one pool.
-    Core::WallTime expiry; ///< The epoch if nobody holds it.
-    std::string token; ///< Of the holder's tenure; empty if nobody holds it.
+    std::uint64_t fencingNumber = 0; ///< Fencing number of the latest holder; never decreases, also across the rows of one pool.
+    Core::WallTime expiry; ///< The epoch if the lease is free.
+    std::string token; ///< Token of the holder's tenure; empty if the lease is free.
 
+    /// \brief Returns the value of the row.
     std::string encode() const;
 
-    /// \brief Reads a row's value. Errors: InvalidArgument.
+    /// \brief Parses the value of a row. Errors: InvalidArgument.
     static Core::Result<LeaseRecord> decode(const std::string &text);
 };
 
-/// \brief Spans of a lease.
+/// \brief Durations of a lease.
 struct LeaseOptions
 {
-    std::chrono::milliseconds duration{10'000}; ///< From the sending of an acquisition or renewal to its end.
+    std::chrono::milliseconds duration{10'000}; ///< Time from sending an acquisition or renewal to the end of the lease.
     std::chrono::milliseconds renewalInterval{3'000};
-    std::chrono::milliseconds clockSkew{2'000}; ///< Between the wall clocks of any two hosts, at most.
-    std::chrono::milliseconds retryInterval{1'000}; ///< Mean between the first two looks at a lease that others hold; doubles.
-    std::chrono::milliseconds maximumRetryInterval{30'000};
+    std::chrono::milliseconds clockSkew{2'000}; ///< Maximum difference between the wall clocks of any two hosts.
+    std::chrono::milliseconds retryInterval{1'000}; ///< Mean time between the first two reads of a lease that others hold; doubles with each further read.
+    std::chrono::milliseconds maximumRetryInterval{30'000}; ///< Limit of the doubling.
     std::chrono::milliseconds operationTimeout{1'000};
 };
 
-/// \brief Asks for a read of rows; the answer goes to Lease::handleRows().
+/// \brief Requests a read of rows; pass the answer to Lease::handleRows().
 struct LeaseRead
 {
     std::vector<std::string> keys;
     Core::TimePoint deadline;
 };
 
-/// \brief Asks for a commit; the answer goes to Lease::handleCommit().
+/// \brief Requests a commit; pass the answer to Lease::handleCommit().
 struct LeaseWrite
 {
     Store::RowWrite write;
@@ -52,37 +53,37 @@
 
 using LeaseAction = std::variant<LeaseRead, LeaseWrite>;
 
-/// \brief Acquires, renews and gives back one lease out of one or several rows, each with its fencing number.
+/// \brief Acquires, renews and releases a lease on one of several alternative rows, each with its fencing number.
 ///
-/// The holder counts its deadline by its own clock from before the request was sent. Others wait for the expiry in the row
-/// and the clock skew besides.
+/// The holder measures its deadline with its own clock from before the request was sent. Other processes wait until the expiry in the
+/// row plus the clock skew has passed.
 class Lease
 {
 public:
-    /// \brief \a rows are alternatives; \a owner names the process, \a seed has to differ between any two starts.
+    /// \brief \a rows are alternatives; \a owner is the name of the process. \a seed must differ between any two starts.
     Lease(const LeaseOptions &options, std::vector<std::string> rows, std::string owner, std::uint64_t seed);
 
-    /// \brief Says whether the lease is wanted; one that is held and not wanted is given back.
+    /// \brief Sets whether the lease is wanted. A lease that is held but not wanted is released.
     void setWanted(bool isWanted);
 
-    /// \brief The next operation, if one is due; there is at most one under way.
+    /// \brief Returns the next operation if one is due. At most one operation is pending at a time.
     std::optional<LeaseAction> advance(const ClockReading &reading);
     void handleRows(const Core::Result<std::vector<Store::TableRow>> &rows, const ClockReading &reading);
     void handleCommit(const Store::CommitAnswer &answer, const ClockReading &reading);
 
-    /// \brief True while the lease is held. To be asked right before each action under it.
+    /// \brief Returns true while the lease is held. Call it right before each action that needs the lease.
     bool isHeld(Core::TimePoint now) const;
 
-    /// \brief The moment from which isHeld() is false unless a renewal succeeds.
+    /// \brief Returns the time from which isHeld() is false unless a renewal succeeds.
     Core::TimePoint heldUntil() const;
 
-    /// \brief The number of this tenure; meaningful while held.
+    /// \brief Returns the fencing number of this tenure; meaningful only while the lease is held.
     std::uint64_t fencingNumber() const;
 
-    /// \brief The row that is held.
+    /// \brief Returns the key of the row that is held.
     const std::string &row() const;
 
-    /// \brief When advance() has something to do; nothing while an operation is under way.
+    /// \brief Returns when advance() is due; empty while an operation is pending.
     std::optional<Core::TimePoint> nextDeadline() const;
 
 private:
@@ -122,11 +123,11 @@
     Backoff m_backoff;
     bool m_isWanted = false;
     bool m_isOperationPending = false;
-    bool m_areRowsFresh = false; ///< m_seen was read just now.
+    bool m_areRowsFresh = false; ///< True if m_rowStates was just read and has not been used yet.
     std::vector<RowState> m_rowStates;
-    std::optional<SentWrite> m_pendingWrite; ///< A write whose outcome is not known yet.
-    std::optional<SentWrite> m_held;
-    std::uint32_t m_unsuccessfulReads = 0; ///< At rows that others held, since the lease was wanted.
+    std::optional<SentWrite> m_pendingWrite; ///< Write whose outcome is not known yet.
+    std::optional<SentWrite> m_held; ///< Last confirmed write of the current tenure.
+    std::uint32_t m_unsuccessfulReads = 0; ///< Number of reads that found all rows held by others, since the last acquisition or renewal.
     Core::TimePoint m_nextAction;
 };
 
--- a/src/libs/decisions/control/membership.cpp
+++ b/src/libs/decisions/control/membership.cpp
@@ -18,7 +18,7 @@
         const BackendServerId id = backendServerId(name);
         const auto known = m_members.find(id);
         Member member = known == m_members.end() ? Member() : std::move(known->second);
-        // Another endpoint is another place: what was seen of the old one says nothing of it.
+        // Observations of the old endpoint do not apply to the new one.
         if (member.server.endpoint != declared.endpoint) {
             member = Member();
         }
@@ -74,7 +74,7 @@
 void Membership::recordTimeout(BackendServerId id, Core::TimePoint now)
 {
     const auto found = m_members.find(id);
-    // Requests that were under way when the suspicion began say nothing new.
+    // Timeouts of requests that were in flight when the suspicion began carry no new information.
     if (found == m_members.end() || now < found->second.skipUntil) {
         return;
     }
@@ -83,7 +83,7 @@
     if (member.timeouts < m_limits.timeoutsBeforeSuspicion) {
         return;
     }
-    // After the first suspicion one further timeout is enough for the next: the server has not answered since.
+    // After the first suspicion, a single timeout starts the next one, because the server has not answered since.
     std::chrono::milliseconds duration = m_limits.initialSuspicion;
     for (std::uint32_t i = 0; i < member.suspicions && duration < m_limits.maximumSuspicion; ++i) {
         duration *= 2;
@@ -133,7 +133,7 @@
 BackendServerState Membership::stateOf(const Member &member) const
 {
     if (member.wasListed && !member.isListed) {
-        // The platform took it away, but it may still be finishing what it has.
+        // The platform no longer lists the host, but it may still be finishing its requests.
         const bool isAnswering = member.lastReply && m_listFetchedAt && *member.lastReply > *m_listFetchedAt;
         return isAnswering ? BackendServerState::Leaving : BackendServerState::Dead;
     }
@@ -150,8 +150,8 @@
     }
 }
 
-// False for a late reply of an agent that was replaced. Old numbers are not kept for ever: a wrong order of two replies must not
-// shut out an agent that lives.
+// Returns false for a late reply of a replaced agent. Past incarnations are ignored for a limited time only, because two replies in
+// the wrong order must not exclude a live agent for good.
 bool Membership::updateIncarnation(Member &member, std::uint64_t incarnation, Core::TimePoint now)
 {
     if (incarnation == 0 || incarnation == member.incarnation) {
@@ -177,7 +177,7 @@
         return;
     }
     if (entry.incarnation > member.listedIncarnation && member.wasListed) {
-        // What was known was about another host.
+        // Earlier observations were about the replaced host.
         member.isLeavingByReply = false;
         resetSuspicion(member);
     }
--- a/src/libs/decisions/control/membership.h
+++ b/src/libs/decisions/control/membership.h
@@ -14,53 +14,53 @@
 
 namespace Verbena::Decisions {
 
-/// \brief When a backend server counts as suspected.
+/// \brief Limits that decide when and for how long a backend server is suspected.
 struct MembershipLimits
 {
-    std::uint32_t timeoutsBeforeSuspicion = 2; ///< In a row, without a reply between.
-    std::chrono::milliseconds initialSuspicion{1000}; ///< How long the first suspicion skips it.
-    std::chrono::milliseconds maximumSuspicion{8000}; ///< Each further suspicion without a reply doubles up to this.
-    std::chrono::milliseconds lateReplyPeriod{60000}; ///< For so long replies of an agent that was replaced may still come.
+    std::uint32_t timeoutsBeforeSuspicion = 2; ///< Number of consecutive timeouts without a reply in between.
+    std::chrono::milliseconds initialSuspicion{1000}; ///< Duration of the first suspicion, during which requests skip the server.
+    std::chrono::milliseconds maximumSuspicion{8000}; ///< Limit of the duration, which doubles with each further suspicion without a reply.
+    std::chrono::milliseconds lateReplyPeriod{60000}; ///< Time during which replies of a replaced agent may still arrive.
 };
 
-/// \brief The backend servers of a deployment as one process sees them: from settings, the host list and its own traffic.
+/// \brief The state of the backend servers of a deployment, derived from the settings, the host list and the process's own traffic.
 ///
-/// Settings say who belongs, the host list who is leaving or gone, and replies and timeouts of the process's own requests say who
-/// answers. Nobody is asked for the sake of it.
+/// The settings declare the servers, the host list shows which are leaving or gone, and replies and timeouts of the process's own
+/// requests show which respond. No probes are sent.
 class Membership
 {
 public:
     explicit Membership(const MembershipLimits &limits);
 
-    /// \brief Takes the declared backend servers in place of those before.
+    /// \brief Replaces the declared backend servers.
     void setSettings(const Settings::InForceSettings &settings);
 
-    /// \brief Takes a host list that the platform or a peer fetched at \a fetchedAt; one older than the last is ignored.
+    /// \brief Applies a host list that was fetched at \a fetchedAt. A list older than the last one is ignored.
     ///
-    /// A list that names no declared server at all is taken for a fault and ignored.
+    /// A list without any declared server is treated as a fault and ignored.
     void setHostList(const std::vector<Store::HostEntry> &hosts, Core::TimePoint fetchedAt);
 
-    /// \brief An agent answered, whatever it said, as the named incarnation of itself (0: it did not say).
+    /// \brief Records a reply of any content from the agent with \a incarnation (0 if the reply does not contain it).
     ///
-    /// Agents count their own incarnations, which have nothing to do with the numbers of the host list.
+    /// Agents count their own incarnations, which are unrelated to those of the host list.
     void recordReply(BackendServerId id, std::uint64_t incarnation, bool isLeaving, Core::TimePoint now);
 
-    /// \brief An agent did not answer in time, or its connection broke.
+    /// \brief Records that an agent did not answer in time or that its connection broke.
     void recordTimeout(BackendServerId id, Core::TimePoint now);
 
-    /// \brief What RouteChooser::setFleet() takes. Suspected servers are in it as live, so that they keep their rank.
+    /// \brief Returns the servers for RouteChooser::setFleet(). Suspected servers are included as live, so that they keep their rank.
     std::vector<BackendServer> fleet() const;
 
-    /// \brief True while requests should skip the server although it keeps its rank.
+    /// \brief Returns true while requests should skip the server, which keeps its rank.
     bool isSuspected(BackendServerId id, Core::TimePoint now) const;
 
-    /// \brief The suspected servers, for RouteQuery::excluded; if nothing else is left, a request should try them after all.
+    /// \brief Returns the suspected servers for RouteQuery::excluded. If no other server is left, requests should try them anyway.
     std::vector<BackendServerId> suspected(Core::TimePoint now) const;
 
-    /// \brief The incarnation that the agent named last; 0 while it is not known.
+    /// \brief Returns the incarnation that the agent reported last, or 0 if it is unknown.
     std::uint64_t incarnation(BackendServerId id) const;
 
-    /// \brief Goes up whenever fleet() gives something else.
+    /// \brief Returns a number that increases whenever fleet() changes.
     std::uint64_t version() const;
 
 private:
@@ -74,9 +74,9 @@
     {
         BackendServer server;
         bool isDrained = false;
-        std::uint64_t incarnation = 0; ///< Of the agent.
+        std::uint64_t incarnation = 0; ///< Incarnation of the agent.
         std::vector<PastIncarnation> pastIncarnations;
-        std::uint64_t listedIncarnation = 0; ///< Of the host.
+        std::uint64_t listedIncarnation = 0; ///< Incarnation of the host.
         bool isLeavingByReply = false;
         bool isLeavingByList = false;
         bool wasListed = false;
--- a/src/libs/decisions/control/orderplan.cpp
+++ b/src/libs/decisions/control/orderplan.cpp
@@ -45,7 +45,7 @@
 
 std::optional<EngineOrder> OrderPlan::nextOrder(const Lease &engineLease, const Lease &permit, Core::TimePoint now) const
 {
-    // One at a time: the effect of an order that is under way is not known yet.
+    // Only one order at a time, because the effect of an unanswered order is not known yet.
     if (!engineLease.isHeld(now) || m_pendingOrder) {
         return std::nullopt;
     }
@@ -62,7 +62,7 @@
     return std::nullopt;
 }
 
-// The lease may have been given back since and taken anew, so its number counts beside the deadline.
+// The lease may have been released and acquired again since, so the fencing number is compared in addition to the deadline.
 bool OrderPlan::maySend(const EngineOrder &order, const Lease &engineLease, const Lease &permit, Core::TimePoint now) const
 {
     const bool isLoad = order.order.kind == ModelOrder::Kind::Load;
@@ -82,7 +82,7 @@
 {
     m_pendingOrder.reset();
     if (Entry *entry = find(order.order)) {
-        // After a lost answer the order is repeated soon; anything else waits to be seen in what the engine holds.
+        // After a lost answer the order is repeated soon; otherwise its effect should show in the loaded models of the engine first.
         entry->notBefore = now + (answer == OrderAnswer::Unknown ? m_options.retryInterval : m_options.repeatInterval);
     }
 }
--- a/src/libs/decisions/control/orderplan.h
+++ b/src/libs/decisions/control/orderplan.h
@@ -9,11 +9,11 @@
 
 namespace Verbena::Decisions {
 
-/// \brief Tells, right before something is sent under a lease, whether it may still go.
+/// \brief Checks right before an order is sent whether the remaining time of its lease is sufficient.
 class FencingGuard
 {
 public:
-    /// \brief \a margin is kept free before the end of the lease for the way to the engine.
+    /// \brief \a margin is the time reserved before the end of the lease for the transport to the engine.
     explicit FencingGuard(std::chrono::milliseconds margin);
 
     bool maySend(Core::TimePoint sendBy, Core::TimePoint now) const;
@@ -22,56 +22,55 @@
     std::chrono::milliseconds m_margin;
 };
 
-/// \brief An order to an engine. It says what shall be so, not what to change, so that it can be repeated.
+/// \brief An order to an engine. It describes the desired state instead of a change, so that it can be repeated.
 struct EngineOrder
 {
     ModelOrder order;
-    std::uint64_t fencingNumber = 0; ///< Of the engine's lease; engines that check it refuse a lower one than they saw.
-    Core::TimePoint sendBy; ///< End of the leases that it is sent under.
+    std::uint64_t fencingNumber = 0; ///< Fencing number of the engine's lease; engines that check it refuse a number lower than one they have received.
+    Core::TimePoint sendBy; ///< End of the leases under which the order is sent.
 };
 
-/// \brief How an order ended.
+/// \brief The result of an order.
 enum class OrderAnswer {
-    Done, ///< The engine took it; what it holds will show the effect.
-    Refused, ///< The engine did not take it.
-    Fenced, ///< The engine has seen a higher number: somebody else gives the orders now.
-    Unknown, ///< No answer; to be repeated.
+    Done, ///< The engine accepted the order; its loaded models will show the effect.
+    Refused, ///< The engine did not accept the order.
+    Fenced, ///< The engine has received a higher fencing number: another process sends the orders now.
+    Unknown, ///< No answer was received; the order has to be repeated.
 };
 
-/// \brief Spans of an order plan.
+/// \brief Intervals of an OrderPlan.
 struct OrderPlanOptions
 {
-    std::chrono::milliseconds sendMargin{500};
-    std::chrono::milliseconds retryInterval{500}; ///< After an answer that was lost.
-    std::chrono::milliseconds repeatInterval{5'000}; ///< Until what the engine holds shows the effect.
+    std::chrono::milliseconds sendMargin{500}; ///< Time before the end of a lease in which nothing is sent.
+    std::chrono::milliseconds retryInterval{500}; ///< Delay of the repetition after a lost answer.
+    std::chrono::milliseconds repeatInterval{5'000}; ///< Interval of repetitions until the loaded models of the engine show the effect.
 };
 
-/// \brief Decides which order goes to an engine next, and under which lease and permit.
+/// \brief Decides which order is sent to an engine next, and under which lease and permit.
 class OrderPlan
 {
 public:
     explicit OrderPlan(const OrderPlanOptions &options);
 
-    /// \brief Takes what ModelPlan::orders() says.
+    /// \brief Replaces the orders by those of ModelPlan::orders().
     void setOrders(std::vector<ModelOrder> orders);
 
-    /// \brief True while the engine's lease should be held: something is to be ordered, or an order is under way.
+    /// \brief Returns true while the engine's lease should be held, because there are orders to send or an order is unanswered.
     bool isLeaseWanted() const;
 
-    /// \brief True while a permit should be held: weights are to be loaded, or an order to load them has no
-    /// effect yet.
+    /// \brief Returns true while a permit should be held, because weights are to be loaded or an order to load them has no effect yet.
     bool isPermitWanted() const;
 
-    /// \brief The order to send now, if any may be. \a engineLease and \a permit are those of this agent.
+    /// \brief Returns the order to send now, if there is one that may be sent. \a engineLease and \a permit belong to this agent.
     std::optional<EngineOrder> nextOrder(const Lease &engineLease, const Lease &permit, Core::TimePoint now) const;
 
-    /// \brief To be asked right before the order is written to the engine: it may have been made ready long ago.
+    /// \brief Returns true if the order may still be sent. Call it right before writing to the engine, as the order may have been prepared long ago.
     bool maySend(const EngineOrder &order, const Lease &engineLease, const Lease &permit, Core::TimePoint now) const;
 
     void recordSent(const EngineOrder &order, Core::TimePoint now);
     void recordAnswer(const EngineOrder &order, OrderAnswer answer, Core::TimePoint now);
 
-    /// \brief When nextOrder() may give something without an event.
+    /// \brief Returns when nextOrder() may return an order if no event occurs before.
     std::optional<Core::TimePoint> nextDeadline() const;
 
 private:
@@ -86,7 +85,7 @@
     OrderPlanOptions m_options;
     FencingGuard m_guard;
     std::vector<Entry> m_entries;
-    std::optional<ModelOrder> m_pendingOrder; ///< Sent and not answered; the leases stay until then.
+    std::optional<ModelOrder> m_pendingOrder; ///< Order that was sent and not answered yet; the leases are kept until the answer.
 };
 
 } // namespace Verbena::Decisions
--- a/src/libs/decisions/control/storebudget.cpp
+++ b/src/libs/decisions/control/storebudget.cpp
@@ -29,7 +29,7 @@
     if (missing <= 0.) {
         return now;
     }
-    // One tick more, so that rounding cannot make a caller come a tick too early for ever.
+    // One microsecond is added, because rounding down would make a caller return slightly too early again and again.
     return now + std::chrono::duration_cast<Core::Clock::duration>(std::chrono::duration<double>(missing / m_perSecond)) + std::chrono::microseconds(1);
 }
 
--- a/src/libs/decisions/control/storebudget.h
+++ b/src/libs/decisions/control/storebudget.h
@@ -4,17 +4,17 @@
 
 namespace Verbena::Decisions {
 
-/// \brief A process's part of what the platform's store can take; a token bucket.
+/// \brief A token bucket that limits the operations of one process on the platform's store to its share.
 class StoreBudget
 {
 public:
     /// \brief Allows \a perSecond operations on average and \a burst at once.
     StoreBudget(double perSecond, double burst, Core::TimePoint now);
 
-    /// \brief Takes one operation out of the budget; false, and nothing is taken, if there is none left.
+    /// \brief Consumes one operation of the budget. Returns false and consumes nothing if the budget is used up.
     bool tryConsume(Core::TimePoint now);
 
-    /// \brief When take() succeeds next.
+    /// \brief Returns the earliest time at which tryConsume() succeeds.
     Core::TimePoint nextFree(Core::TimePoint now) const;
 
 private:
--- a/tests/auto/control/tst_claimregistry.cpp
+++ b/tests/auto/control/tst_claimregistry.cpp
@@ -18,7 +18,7 @@
 
 constexpr auto step = 10ms;
 
-/// One router's ledger, whose operations go to the platform in memory.
+/// A router's ClaimRegistry whose operations run on the platform in memory.
 class Router
 {
 public:
@@ -61,7 +61,7 @@
     std::map<ClaimId, std::vector<ClaimResult>> decisions;
 
 private:
-    // Answers to a router that was restarted meanwhile are lost with it.
+    // Answers to a router that was restarted in the meantime are lost.
     void send(const ClaimAction &action)
     {
         const std::weak_ptr<ClaimRegistry> weak = m_registry;
@@ -88,9 +88,9 @@
 class ClaimRegistryTest : public testing::Test
 {
 protected:
-    void runFor(std::chrono::milliseconds span)
+    void runFor(std::chrono::milliseconds duration)
     {
-        const Core::TimePoint end = m_clock.now() + span;
+        const Core::TimePoint end = m_clock.now() + duration;
         while (m_clock.now() < end) {
             m_first.run();
             m_second.run();
@@ -189,7 +189,7 @@
 
 TEST_F(ClaimRegistryTest, withdrawsAClaimThatWasWrittenButRefusedToItsCaller)
 {
-    // The write takes effect and the table then goes silent until the claim's patience has ended.
+    // The write takes effect and the table then goes silent until the claim's decision timeout has passed.
     setFaults({.lostAnswers = 1});
     const ClaimId first = m_first.claim("a");
     runFor(50ms);
@@ -260,7 +260,7 @@
 
 TEST(ClaimRegistryProperty, neverHoldsAClaimTwice)
 {
-    // Every granted claim counts as run at once; half of them record an outcome, the others die with their router or wait.
+    // A granted claim counts as run. No claim is ended; routers are replaced while claims are pending or granted.
     EXPECT_TRUE(rc::check("no key is granted twice, and what was not claimed can be claimed once all is well", [] {
         VirtualClock clock(4ms);
         std::vector<std::unique_ptr<Router>> routers;
--- a/tests/auto/control/tst_claimsweeper.cpp
+++ b/tests/auto/control/tst_claimsweeper.cpp
@@ -14,7 +14,7 @@
 using namespace Decisions;
 using namespace std::chrono_literals;
 
-/// Carries out what a sweeper asks for.
+/// Executes the actions of a ClaimSweeper.
 class SweeperDriver
 {
 public:
@@ -67,7 +67,7 @@
         const int rounds = *rc::gen::inRange(1, 20);
         for (int round = 0; round < rounds; ++round) {
             for (int n = *rc::gen::inRange(0, 8); n > 0; --n) {
-                // A key that lives is left alone; one that is expired or gone may be claimed anew.
+                // A key whose claim has not expired is skipped; an expired or removed one may be claimed again.
                 const std::string key = "claims/k/d/" + std::to_string(*rc::gen::inRange(0, 6));
                 if (expiries.contains(key) && expiries[key] + 5min > clock.reading().wall) {
                     continue;
--- a/tests/auto/control/tst_hostgossip.cpp
+++ b/tests/auto/control/tst_hostgossip.cpp
@@ -26,7 +26,7 @@
     return hosts;
 }
 
-/// Processes that pass on changes over links of one latency; a partition cuts the first half from the second.
+/// Processes that exchange changes over links with the same latency; a partition separates the first half from the second.
 class GossipNetwork
 {
 public:
@@ -124,7 +124,7 @@
     GossipNetwork network(60, list);
     network.runUntil(start + 100ms);
     network.node(0).applyList({list.begin(), list.begin() + 270}, network.now, network.now);
-    // In the first second: the burst, a second's bytes, and a last round of messages on top, at about 45 bytes a change.
+    // Limit of the first second: the burst, the bytes of one second and one more round of messages, at about 45 bytes a change.
     network.runUntil(network.now + 1s);
     EXPECT_LT(network.changesSent * 45 / 60, 32'000U + 2'000U + 4U * 32U * 45U);
     network.runUntil(network.now + 60s);
@@ -173,7 +173,7 @@
             network.node(*rc::gen::inRange<std::size_t>(0, 12)).applyList(list, network.now, network.now);
             network.runUntil(network.now + std::chrono::milliseconds(*rc::gen::element(0, 10, 1000)));
         }
-        // After healing, two polls on either side are enough for the rest to hear; whom the draw misses polls for itself.
+        // After the partition ends, every process polls once, so that those that no message reached get the list as well.
         network.setPartitioned(false);
         for (std::size_t i = 0; i < 12; ++i) {
             network.node(i).applyList(list, network.now, network.now);
--- a/tests/auto/control/tst_keepers.cpp
+++ b/tests/auto/control/tst_keepers.cpp
@@ -20,7 +20,7 @@
 using namespace Decisions;
 using namespace std::chrono_literals;
 
-/// One process's way to the platform.
+/// The platform client, table and claims of one process.
 struct Node
 {
     Node(EventLoop::Loop &loop, const std::string &url, const std::string &name, std::uint64_t seed)
@@ -35,7 +35,7 @@
     Control::ClaimManager claims;
 };
 
-/// The keepers against the platform's stand-in as a process of its own.
+/// Runs the managers against the platform's stand-in in a separate process.
 class KeepersTest : public testing::Test
 {
 protected:
@@ -44,7 +44,7 @@
         ASSERT_EQ(sendHttp("POST", m_url + "/control", {}, json).status, 200);
     }
 
-    // Runs until the condition holds; the test's own timeout ends a wait in vain.
+    // Runs until the condition holds; a condition that never holds ends in the timeout of the test.
     void runUntil(const std::function<bool()> &condition)
     {
         std::unique_ptr<EventLoop::Timer> timer;
@@ -83,7 +83,7 @@
     ClaimId other{};
     EXPECT_EQ(claim(m_second, "a", other).verdict, ClaimVerdict::Duplicate);
     m_first.claims.recordOutcome(id, {201, "application/json", "{}"});
-    // A duplicate gets the outcome once it is in the table.
+    // A duplicate returns the outcome once it has been written to the table.
     ClaimResult duplicate = claim(m_second, "a", other);
     while (!duplicate.outcome) {
         duplicate = claim(m_second, "a", other);
@@ -164,7 +164,7 @@
     EXPECT_FALSE((*holder)->lease().isHeld(m_loop->now()));
 }
 
-/// Hands each message to the one other process.
+/// Delivers each message to the one other process.
 class PairChannel : public SettingsTree::PeerChannel
 {
 public:
--- a/tests/auto/control/tst_lease.cpp
+++ b/tests/auto/control/tst_lease.cpp
@@ -18,7 +18,7 @@
 
 constexpr auto step = 20ms;
 
-/// A lease whose operations go to the platform in memory; its host's wall clock goes wrong by a skew.
+/// A lease whose operations run on the platform in memory, on a host whose wall clock deviates by a skew.
 class Holder
 {
 public:
@@ -35,7 +35,7 @@
         if (!action) {
             return;
         }
-        // A process that died gets no answers any more; one that sleeps gets them before it goes on.
+        // A dead process gets no answers; a paused one gets them before it resumes.
         const std::weak_ptr<Lease> weak = m_lease;
         if (const auto *read = std::get_if<LeaseRead>(&*action)) {
             m_clock.platform().get(read->keys, read->deadline, [weak, this](const auto &rows) {
@@ -118,7 +118,7 @@
     runFor(60s, {&m_second});
     EXPECT_TRUE(m_second.isHeld());
     EXPECT_GT(m_second.lease().fencingNumber(), number);
-    // The paused process goes on between its check and its send: the check right before the send holds it back.
+    // The paused process resumes between preparing and sending the order; the check right before sending prevents the order.
     EXPECT_FALSE(m_first.isHeld());
     EXPECT_FALSE(plan.maySend(*order, m_first.lease(), m_first.lease(), m_clock.now()));
     EXPECT_FALSE(plan.nextOrder(m_first.lease(), m_first.lease(), m_clock.now()));
@@ -188,7 +188,7 @@
     EXPECT_FALSE(plan.nextOrder(engine.lease(), permit.lease(), clock.now()));
     runFor(6s);
     EXPECT_TRUE(plan.nextOrder(engine.lease(), permit.lease(), clock.now()));
-    // An order that is wanted no more keeps its leases until it is answered.
+    // An order that is no longer wanted keeps its leases until it is answered.
     plan.recordSent(*order, clock.now());
     plan.setOrders({});
     EXPECT_TRUE(plan.isPermitWanted());
@@ -197,7 +197,7 @@
     EXPECT_FALSE(plan.isLeaseWanted());
 }
 
-/// Several agents that want one of a few rows, pause, die and change their minds.
+/// Several agents that compete for a few rows and that pause, die, or stop and start wanting the lease.
 class AgentGroup
 {
 public:
@@ -256,12 +256,12 @@
     {
         std::unique_ptr<Holder> holder;
         Core::TimePoint pausedUntil;
-        std::optional<EngineOrder> order; ///< Made ready in an earlier turn, perhaps before a pause.
+        std::optional<EngineOrder> order; ///< Order prepared in an earlier step, possibly before a pause.
     };
 
     Agent makeAgent(std::uint64_t seed)
     {
-        // Two hosts' clocks differ by at most the skew that the leases allow for.
+        // The clocks of two hosts differ by at most the skew that the leases tolerate.
         const std::chrono::milliseconds skew(static_cast<int>(seed * 700 % 2000) - 1000);
         Agent agent{std::make_unique<Holder>(m_clock, m_rows, seed, skew), {}, {}};
         agent.holder->lease().setWanted(true);
@@ -283,7 +283,7 @@
     {
         const Lease &lease = agent.holder->lease();
         if (agent.order && m_plan.maySend(*agent.order, lease, lease, m_clock.now())) {
-            // An engine that checks nothing sees the orders of one row's holders with numbers that never go down.
+            // Even without checks by the engine, the orders of one row's holders must arrive with fencing numbers that never decrease.
             std::uint64_t &highest = m_highest[lease.row()];
             RC_ASSERT(agent.order->fencingNumber >= highest);
             highest = agent.order->fencingNumber;
--- a/tests/auto/control/tst_membership.cpp
+++ b/tests/auto/control/tst_membership.cpp
@@ -87,7 +87,7 @@
 {
     m_membership.recordReply(m_e1, 501, true, start + 1s);
     EXPECT_EQ(stateOf("e1"), BackendServerState::Leaving);
-    // Its replacement answers before the list shows it; a late reply still speaks of the old one.
+    // The replacement answers before the list shows it; a late reply still comes from the replaced agent.
     m_membership.recordReply(m_e1, 502, false, start + 2s);
     m_membership.recordReply(m_e1, 501, true, start + 3s);
     EXPECT_EQ(m_membership.incarnation(m_e1), 502U);
@@ -95,7 +95,7 @@
     std::vector<HostEntry> hosts = list();
     hosts[0] = {"e1", "10.0.0.1", "a", 12, false};
     m_membership.setHostList(hosts, start + 4s);
-    // A list from another of the platform's hosts lags further behind.
+    // A list from another host of the platform is more outdated.
     hosts[0] = {"e1", "10.0.0.1", "a", 11, true};
     m_membership.setHostList(hosts, start + 5s);
     EXPECT_EQ(stateOf("e1"), BackendServerState::Live);
@@ -150,7 +150,7 @@
         }
     }
     EXPECT_EQ(m_membership.suspected(now).size(), 2U);
-    // Once healed, the next request after the suspicion is answered: 8 s at most.
+    // After the partition ends, the next request after the suspicion (at most 8 s) is answered.
     now += 8s;
     EXPECT_TRUE(m_membership.suspected(now).empty());
     for (const BackendServer &server : before) {
@@ -171,7 +171,7 @@
         Membership membership{MembershipLimits()};
         membership.setSettings(settings);
         const BackendServerId id = backendServerId("e1");
-        // Incarnations become known in their order; between them come old news of any earlier one.
+        // Incarnations are reported in order, mixed with outdated reports of earlier ones.
         const int newest = *rc::gen::inRange(2, 6);
         Core::TimePoint now = start;
         for (int incarnation = 1; incarnation <= newest; ++incarnation) {
@@ -196,14 +196,14 @@
     }));
 }
 
-/// How a herd of starting processes fared at the platform's budget.
+/// Result of many processes starting at once against the platform's read budget.
 struct HerdResult
 {
     std::uint64_t overBudget = 0;
     Core::TimePoint lastDone;
 };
 
-// Each process reads the store twice from its first moment on, and after a refusal again by its backoff.
+// Each process reads the store twice from its first read time on and retries a refused read after its backoff.
 HerdResult runHerd(std::size_t processCount, double readsPerSecond, std::uint64_t seed)
 {
     Standin::PlatformState platform;
--- a/tests/auto/control/tst_pausedagent.cpp
+++ b/tests/auto/control/tst_pausedagent.cpp
@@ -15,7 +15,7 @@
 using namespace std::chrono_literals;
 using nlohmann::json;
 
-/// An agent with an engine that checks no fencing number, and a test that holds leases as another process would.
+/// An agent whose engine does not check fencing numbers; the test acquires leases like another process.
 class PausedAgentTest : public testing::Test
 {
 protected:
@@ -76,7 +76,7 @@
     Control::LeaseManager other(*m_client, *m_harness.loop, Control::LeaseManager::namedLease(options, "engines/agent1", "other", 7), [] {});
     other.setWanted(true);
     ASSERT_TRUE(m_harness.runUntil([&] { return other.lease().isHeld(m_harness.loop->now()); }));
-    // Nobody has touched the permit: only a new tenure, after the wake-up, can change its token.
+    // No other process uses the permit, so only a new tenure of the agent after it resumes can change the token.
     const std::string permitBefore = permitTokens();
     ASSERT_TRUE(permitBefore.starts_with("agent1."));
     m_harness.agent->sendSignal(SIGCONT);
--- a/tests/auto/control/virtualclock.h
+++ b/tests/auto/control/virtualclock.h
@@ -8,7 +8,7 @@
 
 namespace Verbena::Test {
 
-/// \brief Virtual time over a platform in memory, with the wall clock beside it.
+/// \brief Virtual monotonic and wall clocks driven by a platform in memory.
 class VirtualClock
 {
 public:
@@ -32,7 +32,7 @@
         return m_platform.now();
     }
 
-    /// \brief Both clocks; the wall clock of this host goes wrong by \a skew.
+    /// \brief Returns both clocks; the wall clock deviates by \a skew.
     Decisions::ClockReading reading(std::chrono::milliseconds skew = {}) const
     {
         const auto passed = std::chrono::duration_cast<Core::WallTime::duration>(now() - start());
