--- a/tests/auto/control/tst_claimregistry.cpp
+++ b/tests/auto/control/tst_claimregistry.cpp
@@ -110,7 +110,7 @@
     Router m_second{m_clock, "router2", 2};
 };
 
-TEST_F(ClaimRegistryTest, grantsOneOfTwoRacersAndGivesTheOtherTheFirstOutcome)
+TEST_F(ClaimRegistryTest, grantsOneOfTwoConcurrentClaimsAndReturnsItsOutcomeToTheOther)
 {
     const ClaimId winner = m_first.claim("a");
     const ClaimId loser = m_second.claim("a");
@@ -129,7 +129,7 @@
     EXPECT_EQ(m_second.result(other).verdict, ClaimVerdict::Granted);
 }
 
-TEST_F(ClaimRegistryTest, tellsAnotherRequestUnderTheSameKey)
+TEST_F(ClaimRegistryTest, reportsAnotherRequestUnderTheSameKey)
 {
     m_first.claim("a", 7);
     runFor(100ms);
@@ -139,7 +139,7 @@
     EXPECT_FALSE(m_second.result(other).isSameRequest);
 }
 
-TEST_F(ClaimRegistryTest, splitsABatchSoThatInnocentClaimsGoThrough)
+TEST_F(ClaimRegistryTest, splitsABatchSoThatClaimsWithoutConflictAreGranted)
 {
     m_first.claim("taken");
     runFor(100ms);
@@ -170,7 +170,7 @@
     EXPECT_EQ(m_first.result(unwritten).verdict, ClaimVerdict::Granted);
 }
 
-TEST_F(ClaimRegistryTest, saysNotClaimedDuringAnOutageOfMinutesAndGrantsAfterIt)
+TEST_F(ClaimRegistryTest, decidesNotClaimedDuringAnOutageOfMinutesAndGrantsAfterIt)
 {
     for (const Outage outage : {Outage::Refusing, Outage::Silent}) {
         setFaults({.outage = outage});
@@ -203,7 +203,7 @@
     EXPECT_EQ(m_second.result(again).verdict, ClaimVerdict::Granted);
 }
 
-TEST_F(ClaimRegistryTest, fencesOffAWriteThatTakesEffectAfterItsCallerWasTold)
+TEST_F(ClaimRegistryTest, fencesOffAWriteThatTakesEffectAfterItsCallerWasRefused)
 {
     setFaults({.delayedWrites = 1});
     const ClaimId first = m_first.claim("a");
@@ -218,7 +218,7 @@
     EXPECT_EQ(m_second.result(again).verdict, ClaimVerdict::Granted);
 }
 
-TEST_F(ClaimRegistryTest, forbidsTheDispatchToAHolderThatWakesUpLate)
+TEST_F(ClaimRegistryTest, forbidsTheDispatchToAHolderThatResumesLate)
 {
     const ClaimId id = m_first.claim("a");
     runFor(100ms);
@@ -227,7 +227,7 @@
     EXPECT_FALSE(m_first.registry().mayDispatch(id, m_clock.now() + 31s));
 }
 
-TEST_F(ClaimRegistryTest, givesAKeyAnewAfterItsLifetimeOrItsRelease)
+TEST_F(ClaimRegistryTest, grantsAKeyAgainAfterItsLifetimeOrItsRelease)
 {
     const ClaimId released = m_first.claim("r");
     m_first.claim("e");
@@ -261,7 +261,7 @@
 TEST(ClaimRegistryProperty, neverHoldsAClaimTwice)
 {
     // A granted claim counts as run. No claim is ended; routers are replaced while claims are pending or granted.
-    EXPECT_TRUE(rc::check("no key is granted twice, and what was not claimed can be claimed once all is well", [] {
+    EXPECT_TRUE(rc::check("no key is granted twice, and an unclaimed key can be claimed once the faults have ended", [] {
         VirtualClock clock(4ms);
         std::vector<std::unique_ptr<Router>> routers;
         std::vector<std::unique_ptr<Router>> gone;
--- a/tests/auto/control/tst_claimsweeper.cpp
+++ b/tests/auto/control/tst_claimsweeper.cpp
@@ -47,9 +47,9 @@
     ClaimSweeper m_sweeper;
 };
 
-TEST(ClaimSweeperProperty, removesWhatIsExpiredAndNothingElse)
+TEST(ClaimSweeperProperty, removesExpiredClaimsOnly)
 {
-    EXPECT_TRUE(rc::check("two sweepers and lost answers leave exactly the claims that live", [] {
+    EXPECT_TRUE(rc::check("two sweepers and lost answers leave exactly the claims that have not expired", [] {
         VirtualClock clock(4ms);
         ClaimSweeperOptions options;
         options.pageRows = 4;
@@ -58,8 +58,8 @@
         SweeperDriver second(clock, options);
         Standin::PlatformState &state = clock.platform().state();
         std::map<std::string, Core::WallTime> expiries;
-        const auto runFor = [&](std::chrono::milliseconds span) {
-            for (const Core::TimePoint end = clock.now() + span; clock.now() < end; clock.platform().advanceTo(clock.now() + 50ms)) {
+        const auto runFor = [&](std::chrono::milliseconds duration) {
+            for (const Core::TimePoint end = clock.now() + duration; clock.now() < end; clock.platform().advanceTo(clock.now() + 50ms)) {
                 first.run();
                 second.run();
             }
--- a/tests/auto/control/tst_hostgossip.cpp
+++ b/tests/auto/control/tst_hostgossip.cpp
@@ -133,7 +133,7 @@
     }
 }
 
-TEST(HostGossip, doesNotSpreadAFirstListAndIgnoresAnEmptyOne)
+TEST(HostGossip, doesNotSendAFirstListAndIgnoresAnEmptyOne)
 {
     HostGossip news({}, 1, start);
     const std::vector<std::string> peers{"a"};
@@ -143,7 +143,7 @@
     EXPECT_EQ(news.hosts().size(), 3U);
 }
 
-TEST(HostGossip, keepsAHostThatAPeerToldOfAfterTheListWasAskedFor)
+TEST(HostGossip, keepsAHostThatAPeerReportedAfterTheListWasRequested)
 {
     HostGossip news({}, 1, start);
     news.applyList(makeList(3), start, start);
@@ -156,7 +156,7 @@
 
 TEST(HostGossipProperty, convergesAfterReplacementsAndAPartition)
 {
-    EXPECT_TRUE(rc::check("all processes end with what the platform shows, whoever polled and whatever was cut", [] {
+    EXPECT_TRUE(rc::check("all processes converge to the list of the platform, whichever process polled and whichever links were cut", [] {
         std::vector<HostEntry> list = makeList(5);
         GossipNetwork network(12, list);
         std::uint64_t incarnation = 1000;
--- a/tests/auto/control/tst_keepers.cpp
+++ b/tests/auto/control/tst_keepers.cpp
@@ -99,7 +99,7 @@
     EXPECT_EQ(later.verdict, ClaimVerdict::Granted);
 }
 
-TEST_F(KeepersTest, tellsARouterWhoHoldsAKeyAndGivesItBackIfNothingRan)
+TEST_F(KeepersTest, reportsTheHolderOfAKeyAndReleasesTheKeyIfNothingRan)
 {
     Control::TableClaimService first(m_first.table, *m_loop, {}, "router1", 3);
     Control::TableClaimService second(m_second.table, *m_loop, {}, "router2", 4);
@@ -141,7 +141,7 @@
     EXPECT_EQ(std::count(codes.begin(), codes.end(), Core::ErrorCode::ResourceExhausted), 2);
 }
 
-TEST_F(KeepersTest, givesFourHoldersThreePermitsAndTheFourthOneThatIsGivenBack)
+TEST_F(KeepersTest, grantsThreePermitsToFourAgentsAndAReleasedOneToTheFourth)
 {
     std::vector<std::unique_ptr<Control::LeaseManager>> managers;
     LeaseOptions options;
@@ -187,7 +187,7 @@
     std::vector<std::string> m_peers{"other"};
 };
 
-TEST_F(KeepersTest, hearsOfALeavingHostFromAPeerWithoutPolling)
+TEST_F(KeepersTest, receivesALeavingHostFromAPeerWithoutPolling)
 {
     control(R"({"hosts": [{"name": "e1", "incarnation": 1}, {"name": "e2", "incarnation": 1}]})");
     Control::HostListTaskOptions options;
--- a/tests/auto/control/tst_lease.cpp
+++ b/tests/auto/control/tst_lease.cpp
@@ -71,9 +71,9 @@
 class LeaseTest : public testing::Test
 {
 protected:
-    void runFor(std::chrono::milliseconds span, const std::vector<Holder *> &holders)
+    void runFor(std::chrono::milliseconds duration, const std::vector<Holder *> &holders)
     {
-        const Core::TimePoint end = m_clock.now() + span;
+        const Core::TimePoint end = m_clock.now() + duration;
         while (m_clock.now() < end) {
             for (Holder *holder : holders) {
                 holder->run();
@@ -87,7 +87,7 @@
     Holder m_second{m_clock, {"leases/x"}, 2};
 };
 
-TEST_F(LeaseTest, isHeldByOneAndPassesOnWithAHigherNumberWhenGivenBack)
+TEST_F(LeaseTest, isHeldByOneAndPassesOnWithAHigherNumberWhenReleased)
 {
     m_first.lease().setWanted(true);
     m_second.lease().setWanted(true);
@@ -103,7 +103,7 @@
     EXPECT_GT(other.lease().fencingNumber(), number);
 }
 
-TEST_F(LeaseTest, lapsesWhileItsHolderIsPausedAndTheHolderKnowsWhenItWakesUp)
+TEST_F(LeaseTest, lapsesWhileItsHolderIsPausedAndTheHolderDetectsItWhenItResumes)
 {
     m_first.lease().setWanted(true);
     runFor(1s, {&m_first});
@@ -124,7 +124,7 @@
     EXPECT_FALSE(plan.nextOrder(m_first.lease(), m_first.lease(), m_clock.now()));
 }
 
-TEST_F(LeaseTest, survivesLostAnswersButNotAnOutageLongerThanItsSpan)
+TEST_F(LeaseTest, survivesLostAnswersButNotAnOutageLongerThanItsDuration)
 {
     m_first.lease().setWanted(true);
     m_clock.platform().state().setFaults({.lostAnswers = 1});
@@ -155,7 +155,7 @@
     EXPECT_GT(m_first.lease().fencingNumber(), number);
 }
 
-TEST(OrderPlan, sendsLoadsUnderAPermitOnlyAndRepeatsWhatWasNotAnswered)
+TEST(OrderPlan, sendsLoadsUnderAPermitOnlyAndRepeatsUnansweredOrders)
 {
     VirtualClock clock(4ms);
     Holder engine(clock, {"leases/engines/e1"}, 1);
@@ -165,8 +165,8 @@
     plan.setOrders({{ModelOrder::Kind::Load, {"analyst", "", "7"}}});
     EXPECT_TRUE(plan.isLeaseWanted());
     EXPECT_TRUE(plan.isPermitWanted());
-    const auto runFor = [&](std::chrono::milliseconds span) {
-        for (const Core::TimePoint end = clock.now() + span; clock.now() < end; clock.platform().advanceTo(clock.now() + step)) {
+    const auto runFor = [&](std::chrono::milliseconds duration) {
+        for (const Core::TimePoint end = clock.now() + duration; clock.now() < end; clock.platform().advanceTo(clock.now() + step)) {
             engine.run();
             permit.run();
         }
@@ -231,9 +231,9 @@
         }
     }
 
-    void runFor(std::chrono::milliseconds span)
+    void runFor(std::chrono::milliseconds duration)
     {
-        const Core::TimePoint end = m_clock.now() + span;
+        const Core::TimePoint end = m_clock.now() + duration;
         while (m_clock.now() < end) {
             for (Agent &agent : m_agents) {
                 if (agent.pausedUntil <= m_clock.now()) {
--- a/tests/auto/control/tst_membership.cpp
+++ b/tests/auto/control/tst_membership.cpp
@@ -68,7 +68,7 @@
     EXPECT_EQ(m_membership.fleet().size(), 3U);
 }
 
-TEST_F(MembershipTest, takesNobodyBackByAListThatLags)
+TEST_F(MembershipTest, revivesNoServerByAnOutdatedList)
 {
     std::vector<HostEntry> hosts = list();
     hosts[0].isLeaving = true;
@@ -83,7 +83,7 @@
     EXPECT_EQ(stateOf("e2"), BackendServerState::Live);
 }
 
-TEST_F(MembershipTest, takesAReplacedHostUnderTheSameAddressForAnother)
+TEST_F(MembershipTest, treatsAReplacedHostUnderTheSameAddressAsAnother)
 {
     m_membership.recordReply(m_e1, 501, true, start + 1s);
     EXPECT_EQ(stateOf("e1"), BackendServerState::Leaving);
@@ -104,7 +104,7 @@
     EXPECT_EQ(stateOf("e1"), BackendServerState::Leaving);
 }
 
-TEST_F(MembershipTest, forgetsThatAHostWasLeavingWhenTheListShowsItsReplacement)
+TEST_F(MembershipTest, clearsTheLeavingStateWhenTheListShowsAReplacement)
 {
     m_membership.recordReply(m_e1, 501, true, start + 1s);
     std::vector<HostEntry> hosts = list();
@@ -132,7 +132,7 @@
     EXPECT_FALSE(m_membership.isSuspected(m_e1, now));
 }
 
-TEST_F(MembershipTest, comesBackAsItWasWhenAPartitionOfTwoFailureDomainsHeals)
+TEST_F(MembershipTest, restoresTheFleetWhenAPartitionOfTwoFailureDomainsHeals)
 {
     const std::vector<BackendServer> before = m_membership.fleet();
     Core::TimePoint now = start;
@@ -163,9 +163,9 @@
     }
 }
 
-TEST(MembershipProperty, endsInTheSameViewWhateverTheOrderOfNews)
+TEST(MembershipProperty, ignoresOutdatedReportsInAnyOrder)
 {
-    EXPECT_TRUE(rc::check("once the newest incarnation was heard of, older news in any order changes nothing", [] {
+    EXPECT_TRUE(rc::check("once the newest incarnation was reported, older reports in any order change nothing", [] {
         Settings::InForceSettings settings;
         settings.backendServers["e1"].name = "e1";
         Membership membership{MembershipLimits()};
@@ -197,14 +197,14 @@
 }
 
 /// Result of many processes starting at once against the platform's read budget.
-struct HerdResult
+struct StartResult
 {
     std::uint64_t overBudget = 0;
     Core::TimePoint lastDone;
 };
 
 // Each process reads the store twice from its first read time on and retries a refused read after its backoff.
-HerdResult runHerd(std::size_t processCount, double readsPerSecond, std::uint64_t seed)
+StartResult runConcurrentStart(std::size_t processCount, double readsPerSecond, std::uint64_t seed)
 {
     Standin::PlatformState platform;
     platform.setFaults({.readsPerSecond = 2000});
@@ -215,7 +215,7 @@
         backoffs.emplace_back(BackoffOptions(), seed + i);
         due.emplace(firstStoreReadTime(start, processCount, 2, readsPerSecond, seed * 1'000'003 + i), i);
     }
-    HerdResult result;
+    StartResult result;
     while (!due.empty()) {
         const auto [now, process] = *due.begin();
         due.erase(due.begin());
@@ -234,22 +234,22 @@
     return result;
 }
 
-TEST(Herd, staysInsideTheReadBudgetWhenThreeThousandStartAtOnce)
+TEST(ThunderingHerd, staysInsideTheReadBudgetWhenThreeThousandStartAtOnce)
 {
-    const HerdResult atOnce = runHerd(3000, 1e9, 1);
+    const StartResult atOnce = runConcurrentStart(3000, 1e9, 1);
     EXPECT_GT(atOnce.overBudget, 1000U);
     RecordProperty("overBudgetAtOnce", std::to_string(atOnce.overBudget));
     RecordProperty("doneAtOnceMilliseconds", std::to_string((atOnce.lastDone - start) / 1ms));
-    EXPECT_TRUE(rc::check("no read of a herd is over the budget, and all are done in 6 s and a bit", [] {
-        const HerdResult result = runHerd(3000, 1000, *rc::gen::inRange<std::uint64_t>(1, 1'000'000));
+    EXPECT_TRUE(rc::check("no read of the starting processes exceeds the budget, and all are done within 6.1 s", [] {
+        const StartResult result = runConcurrentStart(3000, 1000, *rc::gen::inRange<std::uint64_t>(1, 1'000'000));
         RC_ASSERT(result.overBudget == 0U);
         RC_ASSERT(result.lastDone < start + 6100ms);
     }));
 }
 
-TEST(StoreBudget, letsThroughNoMoreThanBurstAndRate)
+TEST(StoreBudget, permitsNoMoreThanBurstAndRate)
 {
-    EXPECT_TRUE(rc::check("in any span, at most burst and rate times span", [] {
+    EXPECT_TRUE(rc::check("in any interval, at most the burst plus the rate times the interval", [] {
         StoreBudget budget(50, 10, start);
         Core::TimePoint now = start;
         int taken = 0;
--- a/tests/auto/control/tst_pausedagent.cpp
+++ b/tests/auto/control/tst_pausedagent.cpp
@@ -66,7 +66,7 @@
     std::unique_ptr<Store::HttpPlatform> m_client;
 };
 
-TEST_F(PausedAgentTest, sendsNothingWhenItWakesUpAfterItsLease)
+TEST_F(PausedAgentTest, sendsNothingWhenItResumesAfterItsLeaseEnded)
 {
     // The load takes long, so the agent repeats its order until the engine shows the effect.
     declareWeights("2");
