--- a/src/libs/control/claimsweeptask.h
+++ b/src/libs/control/claimsweeptask.h
@@ -1,6 +1,6 @@
 #pragma once
 
-#include "leasekeeper.h"
+#include "leasemanager.h"
 
 #include <decisions/control/claimsweeper.h>
 
@@ -8,26 +8,26 @@
 
 namespace Verbena::Control {
 
-/// \brief Removes expired claims while this process holds the lease for it.
+/// \brief Removes expired claims while this process holds the lease for the removal.
 class ClaimSweepTask
 {
 public:
-    /// \brief Starts at once. Uses \a table, which has to live longer. \a owner and \a seed: see Lease.
+    /// \brief Starts at once. Uses \a table, which must outlive this object. \a owner and \a seed: see Lease.
     ClaimSweepTask(
         Store::TableService &table, EventLoop::Loop &loop, const Decisions::ClaimSweeperOptions &options, const std::string &owner, std::uint64_t seed);
     ~ClaimSweepTask();
 
 private:
-    void noteLeaseChange();
+    void handleLeaseChange();
     void run();
-    void carryOut(const Decisions::SweepAction &action);
+    void execute(const Decisions::SweepAction &action);
 
     Store::TableService &m_table;
     EventLoop::Loop &m_loop;
     Decisions::ClaimSweeper m_sweeper;
     EventLoop::Timer m_timer;
     std::shared_ptr<bool> m_alive;
-    LeaseKeeper m_lease;
+    LeaseManager m_lease;
 };
 
 } // namespace Verbena::Control
--- a/src/libs/control/hostlistpoller.cpp
+++ b/src/libs/control/hostlistpoller.cpp
@@ -7,7 +7,7 @@
 namespace {
 
 constexpr std::chrono::seconds fetchTimeout(2);
-constexpr Decisions::BackoffOptions retryOptions{.first = std::chrono::milliseconds(1'000), .longest = std::chrono::milliseconds(60'000)};
+constexpr Decisions::BackoffOptions retryOptions{.initialDelay = std::chrono::milliseconds(1'000), .maximumDelay = std::chrono::milliseconds(60'000)};
 
 } // namespace
 
@@ -32,13 +32,13 @@
     scheduleNext();
 }
 
-void HostListPoller::requestBy(Core::TimePoint moment)
+void HostListPoller::requestBy(Core::TimePoint time)
 {
-    m_poller.requestPollBy(moment);
+    m_poller.requestPollBy(time);
     scheduleNext();
 }
 
-void HostListPoller::noteHeard()
+void HostListPoller::recordPeerUpdate()
 {
     m_poller.recordPeerMessage(m_loop.now());
     scheduleNext();
@@ -46,7 +46,7 @@
 
 void HostListPoller::poll()
 {
-    // The list is as old as the request for it, at least.
+    // The list may be as old as the request for it.
     const Core::TimePoint sentAt = m_loop.now();
     m_poller.markStarted(sentAt);
     m_hosts.fetch(sentAt + fetchTimeout, [this, sentAt, alive = std::weak_ptr(m_alive)](const Core::Result<std::vector<Store::HostEntry>> &hosts) {
@@ -54,10 +54,10 @@
             return;
         }
         if (hosts) {
-            m_backoff.noteSuccess();
+            m_backoff.recordSuccess();
             m_received(hosts.value(), sentAt);
         } else {
-            m_backoff.noteFailure(m_loop.now());
+            m_backoff.recordFailure(m_loop.now());
             m_poller.handleFailure(m_loop.now());
             m_poller.requestPollBy(m_backoff.notBefore());
         }
--- a/src/libs/decisions/control/claimsweeper.cpp
+++ b/src/libs/decisions/control/claimsweeper.cpp
@@ -11,16 +11,16 @@
 
 std::optional<SweepAction> ClaimSweeper::advance(Core::TimePoint now)
 {
-    if (m_isUnderWay || now < m_nextAction) {
+    if (m_isOperationPending || now < m_nextAction) {
         return std::nullopt;
     }
-    m_isUnderWay = true;
+    m_isOperationPending = true;
     const Core::TimePoint deadline = now + m_options.operationTimeout;
     if (!m_cursor) {
         return ReadSweepCursor{deadline};
     }
     if (!m_removals.empty()) {
-        // The cursor goes with the removals, so that it never says more than was done.
+        // The cursor is committed with the removals, so that it never runs ahead of them.
         std::vector<Store::RowWrite> writes = std::exchange(m_removals, {});
         writes.push_back({cursorRow, std::to_string(m_nextCursor), m_cursorRevision});
         return RemoveClaims{std::move(writes), deadline};
@@ -28,7 +28,7 @@
     return ScanClaims{*m_cursor, m_options.pageRows, deadline};
 }
 
-void ClaimSweeper::takeCursor(const Core::Result<std::vector<Store::TableRow>> &rows, Core::TimePoint now)
+void ClaimSweeper::handleCursor(const Core::Result<std::vector<Store::TableRow>> &rows, Core::TimePoint now)
 {
     if (!rows) {
         finishStep(now + m_options.busyInterval);
@@ -38,7 +38,7 @@
     m_cursorRevision = 0;
     if (!rows.value().empty()) {
         const Store::TableRow &row = rows.value().front();
-        // A cursor that cannot be read costs a sweep from the beginning.
+        // If the cursor cannot be parsed, the sweep starts from the beginning.
         std::from_chars(row.value.data(), row.value.data() + row.value.size(), cursor);
         m_cursorRevision = row.revision;
     }
@@ -46,7 +46,7 @@
     finishStep(now);
 }
 
-void ClaimSweeper::takePage(const Core::Result<std::vector<Store::TableRow>> &rows, const ClockReading &reading)
+void ClaimSweeper::handlePage(const Core::Result<std::vector<Store::TableRow>> &rows, const ClockReading &reading)
 {
     if (!rows || rows.value().empty()) {
         finishStep(reading.now + m_options.idleInterval);
@@ -57,7 +57,7 @@
     for (const Store::TableRow &row : rows.value()) {
         if (!row.isDeleted) {
             const auto record = ClaimRecord::decode(row.value);
-            // What lies behind a claim that lives was written later, and lives longer.
+            // Claims after one that has not expired were written later and expire later.
             if (record && record.value().expiry + m_options.clockSkew > reading.wall) {
                 isEndReached = true;
                 break;
@@ -73,13 +73,13 @@
     finishStep(isBusy ? reading.now : reading.now + (isEndReached ? m_options.idleInterval : m_options.busyInterval));
 }
 
-void ClaimSweeper::takeCommit(const Store::CommitAnswer &answer, Core::TimePoint now)
+void ClaimSweeper::handleCommit(const Store::CommitAnswer &answer, Core::TimePoint now)
 {
     if (answer.outcome == Store::CommitOutcome::Committed) {
         m_cursor = m_nextCursor;
         m_cursorRevision = answer.revision;
     } else if (answer.outcome != Store::CommitOutcome::NotSent) {
-        // Somebody changed a row, or the answer was lost: the table tells.
+        // A row was changed by another process, or the answer was lost: read the table again.
         restart();
     }
     finishStep(now + m_options.busyInterval);
@@ -93,12 +93,12 @@
 
 std::optional<Core::TimePoint> ClaimSweeper::nextDeadline() const
 {
-    return m_isUnderWay ? std::nullopt : std::optional(m_nextAction);
+    return m_isOperationPending ? std::nullopt : std::optional(m_nextAction);
 }
 
 void ClaimSweeper::finishStep(Core::TimePoint next)
 {
-    m_isUnderWay = false;
+    m_isOperationPending = false;
     m_nextAction = next;
 }
 
--- a/src/libs/decisions/control/claimupdates.cpp
+++ b/src/libs/decisions/control/claimupdates.cpp
@@ -35,7 +35,7 @@
             continue;
         }
         writes.push_back({update.rowKey, update.value, update.expectedRevision});
-        m_underWay.push_back(std::move(update));
+        m_committing.push_back(std::move(update));
     }
     return writes;
 }
@@ -43,8 +43,8 @@
 void ClaimUpdates::handleCommit(const Store::CommitAnswer &answer)
 {
     std::vector<Update> updates;
-    updates.swap(m_underWay);
-    // From the back, so that what is put in front again keeps its order.
+    updates.swap(m_committing);
+    // Iterates backwards, because requeue() inserts at the front and the order has to be kept.
     for (auto update = updates.rbegin(); update != updates.rend(); ++update) {
         switch (answer.outcome) {
         case Store::CommitOutcome::Committed:
@@ -55,7 +55,7 @@
             break;
         case Store::CommitOutcome::Unknown:
         case Store::CommitOutcome::NotSent:
-            // Repeatable: if it took effect after all, the next try meets a conflict that shows it.
+            // Safe to repeat: if the commit took effect after all, the next one ends in a conflict that shows the new row.
             requeue(std::move(*update));
             break;
         }
@@ -74,13 +74,13 @@
         return;
     }
     const auto record = ClaimRecord::decode(current->value);
-    const bool isOurs = !current->isDeleted && record && record.value().token == update.token;
-    if (isOurs && current->value != update.value) {
+    const bool isOwn = !current->isDeleted && record && record.value().token == update.token;
+    if (isOwn && current->value != update.value) {
         update.expectedRevision = current->revision;
         requeue(std::move(update));
         return;
     }
-    // It took effect before, or the row is not ours any more.
+    // The update took effect before, or the row no longer belongs to this claim.
     m_values.erase(update.rowKey);
 }
 
--- a/tests/auto/control/tst_claimsweeper.cpp
+++ b/tests/auto/control/tst_claimsweeper.cpp
@@ -14,11 +14,11 @@
 using namespace Decisions;
 using namespace std::chrono_literals;
 
-/// Carries out what a sweeper asks for.
-class Sweep
+/// Executes the actions of a ClaimSweeper.
+class SweeperDriver
 {
 public:
-    Sweep(VirtualClock &clock, const ClaimSweeperOptions &options)
+    SweeperDriver(VirtualClock &clock, const ClaimSweeperOptions &options)
         : m_clock(clock)
         , m_sweeper(options)
     {
@@ -32,13 +32,13 @@
         }
         Store::TableService &table = m_clock.platform();
         if (const auto *cursor = std::get_if<ReadSweepCursor>(&*action)) {
-            table.get({ClaimSweeper::cursorRow}, cursor->deadline, [this](const auto &rows) { m_sweeper.takeCursor(rows, m_clock.now()); });
+            table.get({ClaimSweeper::cursorRow}, cursor->deadline, [this](const auto &rows) { m_sweeper.handleCursor(rows, m_clock.now()); });
         } else if (const auto *scan = std::get_if<ScanClaims>(&*action)) {
             table.scan(ClaimSweeper::claimsPrefix, scan->sinceRevision, scan->limit, scan->deadline, [this](const auto &rows) {
-                m_sweeper.takePage(rows, m_clock.reading());
+                m_sweeper.handlePage(rows, m_clock.reading());
             });
         } else if (const auto *remove = std::get_if<RemoveClaims>(&*action)) {
-            table.commit(remove->writes, remove->deadline, [this](const auto &answer) { m_sweeper.takeCommit(answer, m_clock.now()); });
+            table.commit(remove->writes, remove->deadline, [this](const auto &answer) { m_sweeper.handleCommit(answer, m_clock.now()); });
         }
     }
 
@@ -47,19 +47,19 @@
     ClaimSweeper m_sweeper;
 };
 
-TEST(ClaimSweeperProperty, removesWhatIsExpiredAndNothingElse)
+TEST(ClaimSweeperProperty, removesExpiredClaimsOnly)
 {
-    EXPECT_TRUE(rc::check("two sweepers and lost answers leave exactly the claims that live", [] {
+    EXPECT_TRUE(rc::check("two sweepers and lost answers leave exactly the claims that have not expired", [] {
         VirtualClock clock(4ms);
         ClaimSweeperOptions options;
         options.pageRows = 4;
         options.idleInterval = 10s;
-        Sweep first(clock, options);
-        Sweep second(clock, options);
+        SweeperDriver first(clock, options);
+        SweeperDriver second(clock, options);
         Standin::PlatformState &state = clock.platform().state();
         std::map<std::string, Core::WallTime> expiries;
-        const auto runFor = [&](std::chrono::milliseconds span) {
-            for (const Core::TimePoint end = clock.now() + span; clock.now() < end; clock.platform().advanceTo(clock.now() + 50ms)) {
+        const auto runFor = [&](std::chrono::milliseconds duration) {
+            for (const Core::TimePoint end = clock.now() + duration; clock.now() < end; clock.platform().advanceTo(clock.now() + 50ms)) {
                 first.run();
                 second.run();
             }
@@ -67,7 +67,7 @@
         const int rounds = *rc::gen::inRange(1, 20);
         for (int round = 0; round < rounds; ++round) {
             for (int n = *rc::gen::inRange(0, 8); n > 0; --n) {
-                // A key that lives is left alone; one that is expired or gone may be claimed anew.
+                // A key whose claim has not expired is skipped; an expired or removed one may be claimed again.
                 const std::string key = "claims/k/d/" + std::to_string(*rc::gen::inRange(0, 6));
                 if (expiries.contains(key) && expiries[key] + 5min > clock.reading().wall) {
                     continue;
--- a/tests/auto/control/tst_keepers.cpp
+++ b/tests/auto/control/tst_keepers.cpp
@@ -1,7 +1,7 @@
 #include <control/budgetedtable.h>
-#include <control/claimkeeper.h>
+#include <control/claimmanager.h>
 #include <control/hostlisttask.h>
-#include <control/leasekeeper.h>
+#include <control/leasemanager.h>
 #include <control/tableclaimservice.h>
 #include <eventloop/loop.h>
 #include <eventloop/timer.h>
@@ -20,7 +20,7 @@
 using namespace Decisions;
 using namespace std::chrono_literals;
 
-/// One process's way to the platform.
+/// The platform client, table and claims of one process.
 struct Node
 {
     Node(EventLoop::Loop &loop, const std::string &url, const std::string &name, std::uint64_t seed)
@@ -32,10 +32,10 @@
 
     std::unique_ptr<Store::HttpPlatform> platform;
     Control::BudgetedTable table;
-    Control::ClaimKeeper claims;
+    Control::ClaimManager claims;
 };
 
-/// The keepers against the platform's stand-in as a process of its own.
+/// Runs the managers against the platform's stand-in in a separate process.
 class KeepersTest : public testing::Test
 {
 protected:
@@ -44,7 +44,7 @@
         ASSERT_EQ(sendHttp("POST", m_url + "/control", {}, json).status, 200);
     }
 
-    // Runs until the condition holds; the test's own timeout ends a wait in vain.
+    // Runs until the condition holds; a condition that never holds ends in the timeout of the test.
     void runUntil(const std::function<bool()> &condition)
     {
         std::unique_ptr<EventLoop::Timer> timer;
@@ -83,7 +83,7 @@
     ClaimId other{};
     EXPECT_EQ(claim(m_second, "a", other).verdict, ClaimVerdict::Duplicate);
     m_first.claims.recordOutcome(id, {201, "application/json", "{}"});
-    // A duplicate gets the outcome once it is in the table.
+    // A duplicate returns the outcome once it has been written to the table.
     ClaimResult duplicate = claim(m_second, "a", other);
     while (!duplicate.outcome) {
         duplicate = claim(m_second, "a", other);
@@ -99,7 +99,7 @@
     EXPECT_EQ(later.verdict, ClaimVerdict::Granted);
 }
 
-TEST_F(KeepersTest, tellsARouterWhoHoldsAKeyAndGivesItBackIfNothingRan)
+TEST_F(KeepersTest, reportsTheHolderOfAKeyAndReleasesTheKeyIfNothingRan)
 {
     Control::TableClaimService first(m_first.table, *m_loop, {}, "router1", 3);
     Control::TableClaimService second(m_second.table, *m_loop, {}, "router2", 4);
@@ -141,30 +141,30 @@
     EXPECT_EQ(std::count(codes.begin(), codes.end(), Core::ErrorCode::ResourceExhausted), 2);
 }
 
-TEST_F(KeepersTest, givesFourHoldersThreePermitsAndTheFourthOneThatIsGivenBack)
+TEST_F(KeepersTest, grantsThreePermitsToFourAgentsAndAReleasedOneToTheFourth)
 {
-    std::vector<std::unique_ptr<Control::LeaseKeeper>> keepers;
+    std::vector<std::unique_ptr<Control::LeaseManager>> managers;
     LeaseOptions options;
     options.retryInterval = 20ms;
-    options.longestRetryInterval = 40ms;
+    options.maximumRetryInterval = 40ms;
     for (std::uint64_t i = 1; i <= 4; ++i) {
-        Lease permit = Control::LeaseKeeper::weightPermit(options, "agent" + std::to_string(i), i);
-        keepers.push_back(std::make_unique<Control::LeaseKeeper>(m_first.table, *m_loop, std::move(permit), [] {}));
-        keepers.back()->setWanted(true);
+        Lease permit = Control::LeaseManager::weightPermit(options, "agent" + std::to_string(i), i);
+        managers.push_back(std::make_unique<Control::LeaseManager>(m_first.table, *m_loop, std::move(permit), [] {}));
+        managers.back()->setWanted(true);
     }
     const auto countHeld = [&] {
-        return std::count_if(keepers.begin(), keepers.end(), [&](const auto &keeper) { return keeper->lease().isHeld(m_loop->now()); });
+        return std::count_if(managers.begin(), managers.end(), [&](const auto &manager) { return manager->lease().isHeld(m_loop->now()); });
     };
     runUntil([&] { return countHeld() == 3; });
-    const auto waiting = std::find_if(keepers.begin(), keepers.end(), [&](const auto &keeper) { return !keeper->lease().isHeld(m_loop->now()); });
-    const auto holder = waiting == keepers.begin() ? keepers.begin() + 1 : keepers.begin();
+    const auto waiting = std::find_if(managers.begin(), managers.end(), [&](const auto &manager) { return !manager->lease().isHeld(m_loop->now()); });
+    const auto holder = waiting == managers.begin() ? managers.begin() + 1 : managers.begin();
     (*holder)->setWanted(false);
     runUntil([&] { return (*waiting)->lease().isHeld(m_loop->now()); });
     EXPECT_EQ(countHeld(), 3);
     EXPECT_FALSE((*holder)->lease().isHeld(m_loop->now()));
 }
 
-/// Hands each message to the one other process.
+/// Delivers each message to the one other process.
 class PairChannel : public SettingsTree::PeerChannel
 {
 public:
@@ -187,7 +187,7 @@
     std::vector<std::string> m_peers{"other"};
 };
 
-TEST_F(KeepersTest, hearsOfALeavingHostFromAPeerWithoutPolling)
+TEST_F(KeepersTest, receivesALeavingHostFromAPeerWithoutPolling)
 {
     control(R"({"hosts": [{"name": "e1", "incarnation": 1}, {"name": "e2", "incarnation": 1}]})");
     Control::HostListTaskOptions options;
--- a/tests/auto/control/tst_lease.cpp
+++ b/tests/auto/control/tst_lease.cpp
@@ -18,7 +18,7 @@
 
 constexpr auto step = 20ms;
 
-/// A lease whose operations go to the platform in memory; its host's wall clock goes wrong by a skew.
+/// A lease whose operations run on the platform in memory, on a host whose wall clock deviates by a skew.
 class Holder
 {
 public:
@@ -35,7 +35,7 @@
         if (!action) {
             return;
         }
-        // A process that died gets no answers any more; one that sleeps gets them before it goes on.
+        // A dead process gets no answers; a paused one gets them before it resumes.
         const std::weak_ptr<Lease> weak = m_lease;
         if (const auto *read = std::get_if<LeaseRead>(&*action)) {
             m_clock.platform().get(read->keys, read->deadline, [weak, this](const auto &rows) {
@@ -71,9 +71,9 @@
 class LeaseTest : public testing::Test
 {
 protected:
-    void runFor(std::chrono::milliseconds span, const std::vector<Holder *> &holders)
+    void runFor(std::chrono::milliseconds duration, const std::vector<Holder *> &holders)
     {
-        const Core::TimePoint end = m_clock.now() + span;
+        const Core::TimePoint end = m_clock.now() + duration;
         while (m_clock.now() < end) {
             for (Holder *holder : holders) {
                 holder->run();
@@ -87,7 +87,7 @@
     Holder m_second{m_clock, {"leases/x"}, 2};
 };
 
-TEST_F(LeaseTest, isHeldByOneAndPassesOnWithAHigherNumberWhenGivenBack)
+TEST_F(LeaseTest, isHeldByOneAndPassesOnWithAHigherNumberWhenReleased)
 {
     m_first.lease().setWanted(true);
     m_second.lease().setWanted(true);
@@ -103,7 +103,7 @@
     EXPECT_GT(other.lease().fencingNumber(), number);
 }
 
-TEST_F(LeaseTest, lapsesWhileItsHolderIsPausedAndTheHolderKnowsWhenItWakesUp)
+TEST_F(LeaseTest, lapsesWhileItsHolderIsPausedAndTheHolderDetectsItWhenItResumes)
 {
     m_first.lease().setWanted(true);
     runFor(1s, {&m_first});
@@ -118,13 +118,13 @@
     runFor(60s, {&m_second});
     EXPECT_TRUE(m_second.isHeld());
     EXPECT_GT(m_second.lease().fencingNumber(), number);
-    // The paused process goes on between its check and its send: the check right before the send holds it back.
+    // The paused process resumes between preparing and sending the order; the check right before sending prevents the order.
     EXPECT_FALSE(m_first.isHeld());
     EXPECT_FALSE(plan.maySend(*order, m_first.lease(), m_first.lease(), m_clock.now()));
     EXPECT_FALSE(plan.nextOrder(m_first.lease(), m_first.lease(), m_clock.now()));
 }
 
-TEST_F(LeaseTest, survivesLostAnswersButNotAnOutageLongerThanItsSpan)
+TEST_F(LeaseTest, survivesLostAnswersButNotAnOutageLongerThanItsDuration)
 {
     m_first.lease().setWanted(true);
     m_clock.platform().state().setFaults({.lostAnswers = 1});
@@ -155,7 +155,7 @@
     EXPECT_GT(m_first.lease().fencingNumber(), number);
 }
 
-TEST(OrderPlan, sendsLoadsUnderAPermitOnlyAndRepeatsWhatWasNotAnswered)
+TEST(OrderPlan, sendsLoadsUnderAPermitOnlyAndRepeatsUnansweredOrders)
 {
     VirtualClock clock(4ms);
     Holder engine(clock, {"leases/engines/e1"}, 1);
@@ -165,8 +165,8 @@
     plan.setOrders({{ModelOrder::Kind::Load, {"analyst", "", "7"}}});
     EXPECT_TRUE(plan.isLeaseWanted());
     EXPECT_TRUE(plan.isPermitWanted());
-    const auto runFor = [&](std::chrono::milliseconds span) {
-        for (const Core::TimePoint end = clock.now() + span; clock.now() < end; clock.platform().advanceTo(clock.now() + step)) {
+    const auto runFor = [&](std::chrono::milliseconds duration) {
+        for (const Core::TimePoint end = clock.now() + duration; clock.now() < end; clock.platform().advanceTo(clock.now() + step)) {
             engine.run();
             permit.run();
         }
@@ -179,25 +179,25 @@
     const auto order = plan.nextOrder(engine.lease(), permit.lease(), clock.now());
     ASSERT_TRUE(order);
     EXPECT_EQ(order->fencingNumber, engine.lease().fencingNumber());
-    plan.noteSent(*order, clock.now());
+    plan.recordSent(*order, clock.now());
     EXPECT_FALSE(plan.nextOrder(engine.lease(), permit.lease(), clock.now()));
-    plan.noteAnswer(*order, OrderAnswer::Unknown, clock.now());
+    plan.recordAnswer(*order, OrderAnswer::Unknown, clock.now());
     runFor(500ms);
     EXPECT_TRUE(plan.nextOrder(engine.lease(), permit.lease(), clock.now()));
-    plan.noteAnswer(*order, OrderAnswer::Done, clock.now());
+    plan.recordAnswer(*order, OrderAnswer::Done, clock.now());
     EXPECT_FALSE(plan.nextOrder(engine.lease(), permit.lease(), clock.now()));
     runFor(6s);
     EXPECT_TRUE(plan.nextOrder(engine.lease(), permit.lease(), clock.now()));
-    // An order that is wanted no more keeps its leases until it is answered.
-    plan.noteSent(*order, clock.now());
+    // An order that is no longer wanted keeps its leases until it is answered.
+    plan.recordSent(*order, clock.now());
     plan.setOrders({});
     EXPECT_TRUE(plan.isPermitWanted());
-    plan.noteAnswer(*order, OrderAnswer::Done, clock.now());
+    plan.recordAnswer(*order, OrderAnswer::Done, clock.now());
     EXPECT_FALSE(plan.isPermitWanted());
     EXPECT_FALSE(plan.isLeaseWanted());
 }
 
-/// Several agents that want one of a few rows, pause, die and change their minds.
+/// Several agents that compete for a few rows and that pause, die, or stop and start wanting the lease.
 class AgentGroup
 {
 public:
@@ -231,9 +231,9 @@
         }
     }
 
-    void runFor(std::chrono::milliseconds span)
+    void runFor(std::chrono::milliseconds duration)
     {
-        const Core::TimePoint end = m_clock.now() + span;
+        const Core::TimePoint end = m_clock.now() + duration;
         while (m_clock.now() < end) {
             for (Agent &agent : m_agents) {
                 if (agent.pausedUntil <= m_clock.now()) {
@@ -256,12 +256,12 @@
     {
         std::unique_ptr<Holder> holder;
         Core::TimePoint pausedUntil;
-        std::optional<EngineOrder> order; ///< Made ready in an earlier turn, perhaps before a pause.
+        std::optional<EngineOrder> order; ///< Order prepared in an earlier step, possibly before a pause.
     };
 
     Agent makeAgent(std::uint64_t seed)
     {
-        // Two hosts' clocks differ by at most the skew that the leases allow for.
+        // The clocks of two hosts differ by at most the skew that the leases tolerate.
         const std::chrono::milliseconds skew(static_cast<int>(seed * 700 % 2000) - 1000);
         Agent agent{std::make_unique<Holder>(m_clock, m_rows, seed, skew), {}, {}};
         agent.holder->lease().setWanted(true);
@@ -283,7 +283,7 @@
     {
         const Lease &lease = agent.holder->lease();
         if (agent.order && m_plan.maySend(*agent.order, lease, lease, m_clock.now())) {
-            // An engine that checks nothing sees the orders of one row's holders with numbers that never go down.
+            // Even without checks by the engine, the orders of one row's holders must arrive with fencing numbers that never decrease.
             std::uint64_t &highest = m_highest[lease.row()];
             RC_ASSERT(agent.order->fencingNumber >= highest);
             highest = agent.order->fencingNumber;
--- a/tests/auto/control/tst_membership.cpp
+++ b/tests/auto/control/tst_membership.cpp
@@ -68,7 +68,7 @@
     EXPECT_EQ(m_membership.fleet().size(), 3U);
 }
 
-TEST_F(MembershipTest, takesNobodyBackByAListThatLags)
+TEST_F(MembershipTest, revivesNoServerByAnOutdatedList)
 {
     std::vector<HostEntry> hosts = list();
     hosts[0].isLeaving = true;
@@ -83,19 +83,19 @@
     EXPECT_EQ(stateOf("e2"), BackendServerState::Live);
 }
 
-TEST_F(MembershipTest, takesAReplacedHostUnderTheSameAddressForAnother)
+TEST_F(MembershipTest, treatsAReplacedHostUnderTheSameAddressAsAnother)
 {
-    m_membership.noteReply(m_e1, 501, true, start + 1s);
+    m_membership.recordReply(m_e1, 501, true, start + 1s);
     EXPECT_EQ(stateOf("e1"), BackendServerState::Leaving);
-    // Its replacement answers before the list shows it; a late reply still speaks of the old one.
-    m_membership.noteReply(m_e1, 502, false, start + 2s);
-    m_membership.noteReply(m_e1, 501, true, start + 3s);
+    // The replacement answers before the list shows it; a late reply still comes from the replaced agent.
+    m_membership.recordReply(m_e1, 502, false, start + 2s);
+    m_membership.recordReply(m_e1, 501, true, start + 3s);
     EXPECT_EQ(m_membership.incarnation(m_e1), 502U);
     EXPECT_EQ(stateOf("e1"), BackendServerState::Live);
     std::vector<HostEntry> hosts = list();
     hosts[0] = {"e1", "10.0.0.1", "a", 12, false};
     m_membership.setHostList(hosts, start + 4s);
-    // A list from another of the platform's hosts lags further behind.
+    // A list from another host of the platform is more outdated.
     hosts[0] = {"e1", "10.0.0.1", "a", 11, true};
     m_membership.setHostList(hosts, start + 5s);
     EXPECT_EQ(stateOf("e1"), BackendServerState::Live);
@@ -104,9 +104,9 @@
     EXPECT_EQ(stateOf("e1"), BackendServerState::Leaving);
 }
 
-TEST_F(MembershipTest, forgetsThatAHostWasLeavingWhenTheListShowsItsReplacement)
+TEST_F(MembershipTest, clearsTheLeavingStateWhenTheListShowsAReplacement)
 {
-    m_membership.noteReply(m_e1, 501, true, start + 1s);
+    m_membership.recordReply(m_e1, 501, true, start + 1s);
     std::vector<HostEntry> hosts = list();
     hosts[0].incarnation = 12;
     m_membership.setHostList(hosts, start + 2s);
@@ -116,23 +116,23 @@
 TEST_F(MembershipTest, skipsASilentServerForABoundedTimeAndKeepsItsRank)
 {
     const std::uint64_t version = m_membership.version();
-    m_membership.noteTimeout(m_e1, start);
+    m_membership.recordTimeout(m_e1, start);
     EXPECT_FALSE(m_membership.isSuspected(m_e1, start));
     Core::TimePoint now = start;
     for (int round = 0; round < 10; ++round) {
-        m_membership.noteTimeout(m_e1, now);
+        m_membership.recordTimeout(m_e1, now);
         ASSERT_TRUE(m_membership.isSuspected(m_e1, now));
         EXPECT_FALSE(m_membership.isSuspected(m_e1, now + 8s));
         now += 8s;
     }
     EXPECT_EQ(m_membership.version(), version);
     EXPECT_EQ(stateOf("e1"), BackendServerState::Live);
-    m_membership.noteTimeout(m_e1, now);
-    m_membership.noteReply(m_e1, 11, false, now);
+    m_membership.recordTimeout(m_e1, now);
+    m_membership.recordReply(m_e1, 11, false, now);
     EXPECT_FALSE(m_membership.isSuspected(m_e1, now));
 }
 
-TEST_F(MembershipTest, comesBackAsItWasWhenAPartitionOfTwoFailureDomainsHeals)
+TEST_F(MembershipTest, restoresTheFleetWhenAPartitionOfTwoFailureDomainsHeals)
 {
     const std::vector<BackendServer> before = m_membership.fleet();
     Core::TimePoint now = start;
@@ -143,18 +143,18 @@
                 continue;
             }
             if (server.failureDomain == "b") {
-                m_membership.noteTimeout(server.id, now);
+                m_membership.recordTimeout(server.id, now);
             } else {
-                m_membership.noteReply(server.id, 0, false, now);
+                m_membership.recordReply(server.id, 0, false, now);
             }
         }
     }
     EXPECT_EQ(m_membership.suspected(now).size(), 2U);
-    // Once healed, the next request after the suspicion is answered: 8 s at most.
+    // After the partition ends, the next request after the suspicion (at most 8 s) is answered.
     now += 8s;
     EXPECT_TRUE(m_membership.suspected(now).empty());
     for (const BackendServer &server : before) {
-        m_membership.noteReply(server.id, 0, false, now);
+        m_membership.recordReply(server.id, 0, false, now);
     }
     const std::vector<BackendServer> after = m_membership.fleet();
     for (std::size_t i = 0; i < before.size(); ++i) {
@@ -163,19 +163,19 @@
     }
 }
 
-TEST(MembershipProperty, endsInTheSameViewWhateverTheOrderOfNews)
+TEST(MembershipProperty, ignoresOutdatedReportsInAnyOrder)
 {
-    EXPECT_TRUE(rc::check("once the newest incarnation was heard of, older news in any order changes nothing", [] {
+    EXPECT_TRUE(rc::check("once the newest incarnation was reported, older reports in any order change nothing", [] {
         Settings::InForceSettings settings;
         settings.backendServers["e1"].name = "e1";
         Membership membership{MembershipLimits()};
         membership.setSettings(settings);
         const BackendServerId id = backendServerId("e1");
-        // Incarnations become known in their order; between them come old news of any earlier one.
+        // Incarnations are reported in order, mixed with outdated reports of earlier ones.
         const int newest = *rc::gen::inRange(2, 6);
         Core::TimePoint now = start;
         for (int incarnation = 1; incarnation <= newest; ++incarnation) {
-            membership.noteReply(id, static_cast<std::uint64_t>(incarnation), false, now);
+            membership.recordReply(id, static_cast<std::uint64_t>(incarnation), false, now);
             membership.setHostList({{"e1", "10.0.0.1", "a", static_cast<std::uint64_t>(incarnation), false}}, now);
             const int count = *rc::gen::inRange(0, 5);
             for (int i = 0; i < count; ++i) {
@@ -185,7 +185,7 @@
                     continue;
                 }
                 if (*rc::gen::arbitrary<bool>()) {
-                    membership.noteReply(id, old, *rc::gen::arbitrary<bool>(), now);
+                    membership.recordReply(id, old, *rc::gen::arbitrary<bool>(), now);
                 } else {
                     membership.setHostList({{"e1", "10.0.0.1", "a", old, true}}, now);
                 }
@@ -196,37 +196,37 @@
     }));
 }
 
-/// How a herd of starting processes fared at the platform's budget.
-struct HerdResult
+/// Result of many processes starting at once against the platform's read budget.
+struct StartResult
 {
     std::uint64_t overBudget = 0;
     Core::TimePoint lastDone;
 };
 
-// Each process reads the store twice from its first moment on, and after a refusal again by its backoff.
-HerdResult runHerd(std::size_t processCount, double readsPerSecond, std::uint64_t seed)
+// Each process reads the store twice from its first read time on and retries a refused read after its backoff.
+StartResult runConcurrentStart(std::size_t processCount, double readsPerSecond, std::uint64_t seed)
 {
     Standin::PlatformState platform;
     platform.setFaults({.readsPerSecond = 2000});
     std::vector<Backoff> backoffs;
     std::multimap<Core::TimePoint, std::size_t> due;
-    std::vector<int> left(processCount, 2);
+    std::vector<int> readsLeft(processCount, 2);
     for (std::size_t i = 0; i < processCount; ++i) {
         backoffs.emplace_back(BackoffOptions(), seed + i);
-        due.emplace(firstStoreRead(start, processCount, 2, readsPerSecond, seed * 1'000'003 + i), i);
+        due.emplace(firstStoreReadTime(start, processCount, 2, readsPerSecond, seed * 1'000'003 + i), i);
     }
-    HerdResult result;
+    StartResult result;
     while (!due.empty()) {
         const auto [now, process] = *due.begin();
         due.erase(due.begin());
         result.lastDone = now;
         if (platform.admitRead(now) == Standin::Admission::Serve) {
-            backoffs[process].noteSuccess();
-            if (--left[process] > 0) {
+            backoffs[process].recordSuccess();
+            if (--readsLeft[process] > 0) {
                 due.emplace(now + 5ms, process);
             }
         } else {
-            backoffs[process].noteFailure(now);
+            backoffs[process].recordFailure(now);
             due.emplace(backoffs[process].notBefore(), process);
         }
     }
@@ -234,32 +234,32 @@
     return result;
 }
 
-TEST(Herd, staysInsideTheReadBudgetWhenThreeThousandStartAtOnce)
+TEST(ThunderingHerd, staysInsideTheReadBudgetWhenThreeThousandStartAtOnce)
 {
-    const HerdResult atOnce = runHerd(3000, 1e9, 1);
+    const StartResult atOnce = runConcurrentStart(3000, 1e9, 1);
     EXPECT_GT(atOnce.overBudget, 1000U);
     RecordProperty("overBudgetAtOnce", std::to_string(atOnce.overBudget));
     RecordProperty("doneAtOnceMilliseconds", std::to_string((atOnce.lastDone - start) / 1ms));
-    EXPECT_TRUE(rc::check("no read of a herd is over the budget, and all are done in 6 s and a bit", [] {
-        const HerdResult result = runHerd(3000, 1000, *rc::gen::inRange<std::uint64_t>(1, 1'000'000));
+    EXPECT_TRUE(rc::check("no read of the starting processes exceeds the budget, and all are done within 6.1 s", [] {
+        const StartResult result = runConcurrentStart(3000, 1000, *rc::gen::inRange<std::uint64_t>(1, 1'000'000));
         RC_ASSERT(result.overBudget == 0U);
         RC_ASSERT(result.lastDone < start + 6100ms);
     }));
 }
 
-TEST(StoreBudget, letsThroughNoMoreThanBurstAndRate)
+TEST(StoreBudget, permitsNoMoreThanBurstAndRate)
 {
-    EXPECT_TRUE(rc::check("in any span, at most burst and rate times span", [] {
+    EXPECT_TRUE(rc::check("in any interval, at most the burst plus the rate times the interval", [] {
         StoreBudget budget(50, 10, start);
         Core::TimePoint now = start;
         int taken = 0;
         const auto gaps = *rc::gen::container<std::vector<int>>(rc::gen::inRange(0, 60));
         for (const int gap : gaps) {
             now += std::chrono::milliseconds(gap);
-            taken += budget.take(now) ? 1 : 0;
+            taken += budget.tryConsume(now) ? 1 : 0;
             RC_ASSERT(taken <= 10 + 50 * std::chrono::duration<double>(now - start).count() + 1e-6);
             const Core::TimePoint free = budget.nextFree(now);
-            RC_ASSERT(StoreBudget(budget).take(free));
+            RC_ASSERT(StoreBudget(budget).tryConsume(free));
         }
     }));
 }
