--- a/src/libs/relay/crashguard.h
+++ b/src/libs/relay/crashguard.h
@@ -2,10 +2,10 @@
 
 #include "agewatch.h"
 #include "crashcontrol.h"
-#include "crashnews.h"
+#include "crashgossip.h"
 #include "crashrowwriter.h"
 #include "feedreport.h"
-#include "lostcalls.h"
+#include "lostcallchecker.h"
 #include "relaytask.h"
 #include "tablegossip.h"
 
@@ -21,14 +21,17 @@
 
 namespace Verbena::Relay {
 
-/// \brief Keeps requests that crash their backend servers from more of them, together with all other routers.
+/// \brief Limits, together with all other routers, how many backend servers a request can crash.
 ///
-/// What one router saw goes into a table of the store that all follow, and by datagram to the others. The table outlives every process; the datagrams hold
-/// while the store is away. Trials of a suspected request are granted by a conditional write in the same table, so one at a time by all routers together.
+/// Crashes that one router observes are written to a table of the store that all routers follow, and sent to the other routers by datagram. The table
+/// outlives every process; the datagrams work while the store is unavailable. Trials of a suspected request are granted by a conditional write to the same
+/// table, so all routers together grant one at a time.
 class CrashGuard : public CrashControl, private Store::RowConsumer
 {
 public:
-    /// \brief Follows \a source, writes to \a store and hands what it learns on by \a mirror; talks to other routers from \a address. Errors: Unavailable.
+    /// \brief Follows \a source, writes to \a store and copies the rows it reads to \a mirror; exchanges datagrams with other routers from \a address.
+    ///
+    /// Errors: Unavailable.
     static Core::Result<std::unique_ptr<CrashGuard>> create(EventLoop::Loop &loop,
         Store::RowSource &source,
         Store::RowMirror &mirror,
@@ -41,25 +44,25 @@
     CrashGuard(const CrashGuard &) = delete;
     CrashGuard &operator=(const CrashGuard &) = delete;
 
-    /// \brief Shares the table of crashes with other routers by \a gossip, which lives as long as this.
+    /// \brief Shares the table of crashes with other routers by \a gossip, which must live as long as this object.
     void join(TableGossip &gossip);
 
-    /// \brief Lets \a watch follow how old the table of crashes is.
+    /// \brief Lets \a watch monitor the age of the table of crashes.
     void showAge(AgeWatch &watch);
 
     bool hasRecords() const override;
     bool isSuspected(const Decisions::RequestIdentity &request) const override;
     std::uint64_t claimTrial(const Decisions::RequestIdentity &request, TrialCallback done) override;
-    void giveBackTrial(const Decisions::RequestIdentity &request) override;
-    std::uint64_t noteLost(const LostCall &call, CheckCallback done) override;
+    void releaseTrial(const Decisions::RequestIdentity &request) override;
+    std::uint64_t handleLostCall(const LostCall &call, CheckCallback done) override;
     void withdraw(std::uint64_t number) override;
-    void noteServed(const Decisions::RequestIdentity &request) override;
+    void handleSuccess(const Decisions::RequestIdentity &request) override;
 
 private:
-    struct Claim
+    struct PendingTrial
     {
         std::uint64_t number = 0;
-        TrialCallback done; ///< Empty once the request is gone.
+        TrialCallback done; ///< Empty after the request was withdrawn.
         std::uint32_t count = 0;
     };
 
@@ -71,25 +74,25 @@
     void sourceRegained(const std::string &table) override;
     void tableVerified(const std::string &table, Store::StoreTime verifiedAt, std::uint64_t coveredRevision) override;
     void answerRefused(const std::string &table, const Store::RefusedAnswer &answer) override;
-    void takeRow(const Store::TableRow &row, const char *toldBy);
-    void takeRecord(const Decisions::CrashRecord &record, bool isDeleted, const char *toldBy);
+    void applyRow(const Store::TableRow &row, const char *source);
+    void applyRecord(const Decisions::CrashRecord &record, bool isDeleted, const char *source);
     void record(const LostCall &call, const char *proof);
-    void write(const Decisions::RequestIdentity &request);
-    void takeClaim(const Decisions::RequestIdentity &request, const Store::CommitAnswer &answer);
-    void followTrials(const Decisions::RequestIdentity &request, const Store::CommitAnswer &answer, std::uint32_t count);
-    void tell(const std::vector<Store::TableRow> &rows);
-    void look();
+    void writeRecords(const Decisions::RequestIdentity &request);
+    void handleTrialAnswer(const Decisions::RequestIdentity &request, const Store::CommitAnswer &answer);
+    void updateTrials(const Decisions::RequestIdentity &request, const Store::CommitAnswer &answer, std::uint32_t count);
+    void announce(const std::vector<Store::TableRow> &rows);
+    void checkPeriodically();
 
     EventLoop::Loop &m_loop;
     Store::RowMirror &m_mirror;
     FeedReport m_report;
     Store::RowStore &m_store;
     RelayTask &m_relay;
-    Decisions::CrashHistory m_ledger;
+    Decisions::CrashHistory m_history;
     CrashRowWriter m_writer;
-    LostCalls m_lost;
-    std::unique_ptr<CrashNews> m_news;
-    std::map<Decisions::RequestIdentity, Claim> m_claims;
+    LostCallChecker m_lostCalls;
+    std::unique_ptr<CrashGossip> m_gossip;
+    std::map<Decisions::RequestIdentity, PendingTrial> m_pendingTrials;
     std::uint64_t m_lastNumber = 0;
     bool m_isStoreLost = false;
     EventLoop::Timer m_timer;
--- a/tests/auto/relay/tst_cappedrequests.cpp
+++ b/tests/auto/relay/tst_cappedrequests.cpp
@@ -16,7 +16,7 @@
 using Verbena::Test::runUntil;
 using Verbena::Test::WorkerScript;
 
-// Answers when the test says so.
+// Answers with the given verdict, or when the test calls the stored callback.
 class ControlFake : public UsageControl
 {
 public:
@@ -27,7 +27,7 @@
             done(*verdict);
             return 0;
         }
-        open = std::move(done);
+        callback = std::move(done);
         return claims.size();
     }
 
@@ -36,16 +36,16 @@
         withdrawn.push_back(number);
     }
 
-    void giveBack(const UsageClaim &claim) override
+    void refund(const UsageClaim &claim) override
     {
-        givenBack.push_back(claim.cost);
+        refunds.push_back(claim.cost);
     }
 
     std::optional<UsageVerdict> verdict;
     std::vector<UsageClaim> claims;
-    std::vector<double> givenBack;
+    std::vector<double> refunds;
     std::vector<std::uint64_t> withdrawn;
-    Callback open;
+    Callback callback;
 };
 
 class CappedRequestTest : public testing::Test
@@ -105,7 +105,7 @@
     std::unique_ptr<Verbena::Test::WorkerFake> m_worker;
 };
 
-TEST_F(CappedRequestTest, runsOnlyOnceItsCostIsGranted)
+TEST_F(CappedRequestTest, runsOnlyAfterItsCostIsGranted)
 {
     start([](const auto &head, const auto &) { return answer(head); });
     const auto caller = ask();
@@ -114,12 +114,12 @@
     EXPECT_EQ(m_control.claims[0].capVersion, 5U);
     EXPECT_EQ(m_control.claims[0].cost, 200);
     EXPECT_TRUE(m_worker->heads().empty());
-    m_control.open({true, {}});
+    m_control.callback({true, {}});
     EXPECT_NE(answerTo(*caller).find("200 OK"), std::string::npos);
-    EXPECT_TRUE(m_control.givenBack.empty());
+    EXPECT_TRUE(m_control.refunds.empty());
 }
 
-TEST_F(CappedRequestTest, isRefusedBeyondTheCapWithWhenToComeBack)
+TEST_F(CappedRequestTest, isRefusedBeyondTheCapWithARetryDelay)
 {
     start([](const auto &head, const auto &) { return answer(head); });
     m_control.verdict = UsageVerdict{false, 700ms};
@@ -127,34 +127,34 @@
     EXPECT_NE(got.find("HTTP/1.1 429"), std::string::npos);
     EXPECT_NE(got.find("Come-Back-Ms: 700"), std::string::npos);
     EXPECT_TRUE(m_worker->heads().empty());
-    EXPECT_TRUE(m_control.givenBack.empty());
+    EXPECT_TRUE(m_control.refunds.empty());
 }
 
-TEST_F(CappedRequestTest, asksNothingForAnOrganisationWithoutACap)
+TEST_F(CappedRequestTest, claimsNothingForAnOrganisationWithoutACap)
 {
     start([](const auto &head, const auto &) { return answer(head); });
     EXPECT_NE(answerTo(*ask("f")).find("200 OK"), std::string::npos);
     EXPECT_TRUE(m_control.claims.empty());
 }
 
-// A backend server that is full refuses what was granted: kept as used, it would lower the cap just when callers have to come back.
-TEST_F(CappedRequestTest, givesBackWhatDidNotRun)
+// A full backend server refuses a request whose cost was granted. Without a refund, the cap would be lowered just when callers have to retry.
+TEST_F(CappedRequestTest, refundsARequestThatDidNotRun)
 {
     start([](const auto &head, const auto &) { return answer(head, "Not-Run: 1\r\n", "503 Busy"); });
     m_control.verdict = UsageVerdict{true, {}};
     EXPECT_NE(answerTo(*ask()).find("HTTP/1.1 503"), std::string::npos);
-    EXPECT_EQ(m_control.givenBack, std::vector<double>{200});
+    EXPECT_EQ(m_control.refunds, std::vector<double>{200});
 }
 
-TEST_F(CappedRequestTest, keepsTheCostOfWhatMayHaveRun)
+TEST_F(CappedRequestTest, doesNotRefundARequestThatMayHaveRun)
 {
     start([](const auto &, const auto &) { return WorkerScript{"", WorkerScript::End::Reset}; });
     m_control.verdict = UsageVerdict{true, {}};
     EXPECT_NE(answerTo(*ask()).find("HTTP/1.1 502"), std::string::npos);
-    EXPECT_TRUE(m_control.givenBack.empty());
+    EXPECT_TRUE(m_control.refunds.empty());
 }
 
-TEST_F(CappedRequestTest, withdrawsTheQuestionOfACallerThatLeft)
+TEST_F(CappedRequestTest, withdrawsTheClaimOfACallerThatLeft)
 {
     start([](const auto &head, const auto &) { return answer(head); });
     auto caller = ask();
