--- a/src/libs/decisions/relay/orderfailover.cpp
+++ b/src/libs/decisions/relay/orderfailover.cpp
@@ -5,10 +5,10 @@
 namespace Verbena::Decisions {
 
 OrderFailover::OrderFailover(
-    const OrderFailoverOptions &options, const OrderLeaseOptions &lease, const RolloutOptions &pace, std::string host, std::uint64_t seed)
+    const OrderFailoverOptions &options, const OrderLeaseOptions &lease, const RolloutOptions &rollout, std::string host, std::uint64_t seed)
     : m_options(options)
     , m_leaseOptions(lease)
-    , m_pace(pace)
+    , m_rolloutOptions(rollout)
     , m_host(std::move(host))
     , m_random(seed)
 {
@@ -29,7 +29,7 @@
 {
     // All new engines share one delay, so that one commit acquires their rows.
     const auto wait = std::chrono::duration_cast<Core::Clock::duration>(m_options.startJitter * m_random.uniform());
-    std::map<std::string, std::map<std::string, RolloutSlot>> turns;
+    std::map<std::string, std::map<std::string, RolloutSlot>> slots;
     std::set<std::string> orphanedAddresses;
     for (OrphanedEngine &engine : engines) {
         const WeightsGoal &goal = goals.at(engine.model);
@@ -39,10 +39,10 @@
         if (isNewGoal || !wasOrphaned) {
             // An engine that waits for its rollout slot keeps it, as it does with an agent.
             const Core::TimePoint planned = wasOrphaned ? entry.loadAt : Core::TimePoint::max();
-            if (!turns.contains(engine.model)) {
-                turns[engine.model] = rolloutSlots(goal.holders, goal.version);
+            if (!slots.contains(engine.model)) {
+                slots[engine.model] = rolloutSlots(goal.holders, goal.version);
             }
-            entry.loadAt = weightsLoadTime(turns[engine.model][engine.id], m_pace, {goal.announcedAt, engine.lastReportAt}, planned);
+            entry.loadAt = weightsLoadTime(slots[engine.model][engine.id], m_rolloutOptions, {goal.announcedAt, engine.lastReportAt}, planned);
             entry.acquireAfter = std::max(goal.announcedAt, engine.lastReportAt) + wait;
             entry.overdueAt = std::max(entry.loadAt, engine.lastReportAt) + m_options.orderTimeout + wait;
         }
--- a/src/libs/decisions/relay/orderfailover.h
+++ b/src/libs/decisions/relay/orderfailover.h
@@ -62,7 +62,7 @@
 class OrderFailover
 {
 public:
-    OrderFailover(const OrderFailoverOptions &options, const OrderLeaseOptions &lease, const RolloutOptions &pace, std::string host, std::uint64_t seed);
+    OrderFailover(const OrderFailoverOptions &options, const OrderLeaseOptions &lease, const RolloutOptions &rollout, std::string host, std::uint64_t seed);
 
     /// \brief Sets the engines without an agent that need orders now, and the \a goals by model.
     void updateEngines(std::vector<OrphanedEngine> engines, const std::map<std::string, WeightsGoal> &goals);
@@ -112,7 +112,7 @@
 
     OrderFailoverOptions m_options;
     OrderLeaseOptions m_leaseOptions;
-    RolloutOptions m_pace;
+    RolloutOptions m_rolloutOptions;
     std::string m_host;
     RandomSource m_random;
     std::map<std::string, Entry> m_entries; ///< Engines by address.
