--- a/src/apps/load/main.cpp
+++ b/src/apps/load/main.cpp
@@ -33,26 +33,29 @@
     LoadOptions &load = arguments.load;
     const Load::WorkloadOptions &standard = load.workload;
     TCLAP::CmdLine line(
-        "Sends load to routers and checks every answer. The exit status is 0 only if none was lost, broken, crossed or doubled.", ' ', VERBENA_VERSION);
-    TCLAP::MultiArg<std::string> targets("t", "target", "A router to send to; several take turns.", false, "url", line);
-    TCLAP::MultiArg<std::string> services("", "service-url", "A plain service whose runs are compared in the end.", false, "url", line);
+        "Sends load to routers and checks every answer. The exit status is 0 only if no answer was lost, corrupted, misdelivered or duplicated.",
+        ' ',
+        VERBENA_VERSION);
+    TCLAP::MultiArg<std::string> targets("t", "target", "URL of a router; requests are sent to several routers in turn.", false, "url", line);
+    TCLAP::MultiArg<std::string> services("", "service-url", "URL of a plain service whose runs are checked at the end.", false, "url", line);
     std::vector<std::string> names{"kessick", "kalari"};
     TCLAP::ValuesConstraint<std::string> allowedNames(names);
-    ValueArg<std::string> workload("w", "workload", "Whose traffic to send.", false, "kessick", &allowedNames, line);
-    ValueArg<double> rate("r", "rate", "Requests a second, at random moments.", false, load.requestsPerSecond, "number", line);
-    ValueArg<double> seconds("d", "seconds", "How long to send.", false, 10, "number", line);
-    ValueArg<double> timeout("", "timeout", "How long to wait for each answer, in seconds.", false, 30, "number", line);
+    ValueArg<std::string> workload("w", "workload", "The deployment whose traffic is simulated.", false, "kessick", &allowedNames, line);
+    ValueArg<double> rate("r", "rate", "Mean number of requests per second, sent at random times.", false, load.requestsPerSecond, "number", line);
+    ValueArg<double> seconds("d", "seconds", "Time for which requests are sent, in seconds.", false, 10, "number", line);
+    ValueArg<double> timeout("", "timeout", "Timeout of each request, in seconds.", false, 30, "number", line);
     ValueArg<std::uint64_t> seed("", "seed", "The same seed sends the same requests.", false, standard.seed, "number", line);
-    ValueArg<std::size_t> pieceBytes("", "piece-bytes", "Prefixes are multiples of this.", false, standard.pieceBytes, "bytes", line);
-    ValueArg<std::uint32_t> tokens("", "answer-tokens", "Tokens of each answer.", false, standard.answerTokens, "number", line);
+    ValueArg<std::size_t> pieceBytes(
+        "", "piece-bytes", "Size of a piece; the lengths of prefixes are multiples of it.", false, standard.pieceBytes, "bytes", line);
+    ValueArg<std::uint32_t> tokens("", "answer-tokens", "Number of tokens in each answer.", false, standard.answerTokens, "number", line);
     ValueArg<double> serviceShare("", "service-share", "Fraction of plain service calls.", false, standard.serviceShare, "fraction", line);
     ValueArg<double> chatShare("", "chat-share", "Fraction of completions sent as chat.", false, standard.chatShare, "fraction", line);
     ValueArg<double> tokenShare("", "token-share", "Fraction of completions sent as token ids.", false, standard.tokenShare, "fraction", line);
-    ValueArg<double> wholeShare("", "whole-share", "Fraction of completions not streamed.", false, standard.wholeShare, "fraction", line);
-    TCLAP::SwitchArg keep("", "keep-connections", "Uses connections again; dead ones may then repeat a request.", line);
+    ValueArg<double> nonStreamedShare("", "whole-share", "Fraction of completions not streamed.", false, standard.nonStreamedShare, "fraction", line);
+    TCLAP::SwitchArg keep("", "keep-connections", "Reuses connections; a request may then be repeated if its connection is dead.", line);
     TCLAP::SwitchArg json("", "json", "Prints the report as JSON.", line);
-    ValueArg<std::string> jsonFile("", "json-file", "Writes the report as JSON to a file too.", false, "", "file", line);
-    TCLAP::SwitchArg callers("", "list-callers", "Prints organisation and API key of each caller, and exits.", line);
+    ValueArg<std::string> jsonFile("", "json-file", "Also writes the report as JSON to a file.", false, "", "file", line);
+    TCLAP::SwitchArg callers("", "list-callers", "Prints the organisation and API key of each caller and exits.", line);
     line.parse(argc, argv);
 
     using std::chrono::milliseconds;
@@ -70,7 +73,7 @@
     load.workload.serviceShare = serviceShare.getValue();
     load.workload.chatShare = chatShare.getValue();
     load.workload.tokenShare = tokenShare.getValue();
-    load.workload.wholeShare = wholeShare.getValue();
+    load.workload.nonStreamedShare = nonStreamedShare.getValue();
     arguments.isJson = json.getValue();
     arguments.jsonFile = jsonFile.getValue();
     arguments.isListingCallers = callers.getValue();
--- a/src/apps/standin/main.cpp
+++ b/src/apps/standin/main.cpp
@@ -30,7 +30,7 @@
     Application::reportStart(VERBENA_VERSION, address);
     loop.run();
     Application::reportStop();
-    // Requests that a fault left unanswered are open for ever, so nothing is waited for.
+    // Requests that a fault left unanswered stay open forever, so the process exits without waiting for them.
     std::_Exit(EXIT_SUCCESS);
 }
 
--- a/src/apps/standin/standinoptions.cpp
+++ b/src/apps/standin/standinoptions.cpp
@@ -11,7 +11,7 @@
 using std::chrono::microseconds;
 using std::chrono::milliseconds;
 
-// "model", "model:adapter", either with "@version" behind.
+// Parses "model" or "model:adapter", each with an optional "@version" suffix.
 LoadedModel modelOf(const std::string &text)
 {
     const std::size_t at = text.find('@');
@@ -22,7 +22,7 @@
 
 Faults faultsOf(const std::string &text)
 {
-    const auto faults = Faults().changedBy(text);
+    const auto faults = Faults().withChanges(text);
     if (!faults) {
         std::cerr << faults.error().toString() << '\n';
         std::exit(EXIT_FAILURE);
@@ -37,27 +37,27 @@
     using TCLAP::ValueArg;
     StandinOptions options;
     const EngineOptions &standard = options.engine;
-    TCLAP::CmdLine line("Stands in for the systems that verbenaladder meets.", ' ', version);
+    TCLAP::CmdLine line("Simulates the systems that verbenaladder communicates with.", ' ', version);
     std::vector<std::string> roles{"engine", "platform", "service"};
     TCLAP::ValuesConstraint<std::string> allowedRoles(roles);
-    TCLAP::UnlabeledValueArg<std::string> role("role", "What to stand in for.", true, "engine", &allowedRoles, line);
+    TCLAP::UnlabeledValueArg<std::string> role("role", "The system to simulate.", true, "engine", &allowedRoles, line);
     ValueArg<int> port("p", "port", "The port to listen on; 0 lets the system choose.", false, 0, "number", line);
-    ValueArg<std::string> faults("", "faults", "Faults from the start, as the body of POST /control.", false, "{}", "json", line);
-    ValueArg<unsigned> batch("", "batch-size", "Requests that the engine runs at a time.", false, unsigned(standard.batchSize), "number", line);
-    ValueArg<unsigned> prefill("", "prefill-rate", "Tokens prefilled in a second.", false, standard.prefillTokensPerSecond, "number", line);
+    ValueArg<std::string> faults("", "faults", "Initial faults, in the format of the body of POST /control.", false, "{}", "json", line);
+    ValueArg<unsigned> batch("", "batch-size", "Requests that the engine runs concurrently.", false, unsigned(standard.batchSize), "number", line);
+    ValueArg<unsigned> prefill("", "prefill-rate", "Tokens prefilled per second.", false, standard.prefillTokensPerSecond, "number", line);
     ValueArg<unsigned> decode("", "decode-interval-us", "Time between two tokens of an answer.", false, 5000, "microseconds", line);
     ValueArg<unsigned> pieces("", "cache-pieces", "Pieces that the prefix cache holds.", false, unsigned(standard.cachePieces), "number", line);
     ValueArg<unsigned> pieceTokens("", "piece-tokens", "Tokens in a piece.", false, standard.pieceSize.tokens, "number", line);
-    ValueArg<unsigned> loadLag("", "load-lag-ms", "How old the load report may be.", false, 100, "milliseconds", line);
-    ValueArg<unsigned> eventDelay("", "event-delay-ms", "How late cache events are told.", false, 50, "milliseconds", line);
-    ValueArg<double> eventLoss("", "event-loss", "Fraction of cache events that are never told.", false, 0, "fraction", line);
-    ValueArg<unsigned> loadTime("", "load-time-ms", "Time to load new weights.", false, 500, "milliseconds", line);
+    ValueArg<unsigned> loadReportLag("", "load-lag-ms", "Maximum age of the load report.", false, 100, "milliseconds", line);
+    ValueArg<unsigned> eventDelay("", "event-delay-ms", "Delay of cache events.", false, 50, "milliseconds", line);
+    ValueArg<double> eventLossRate("", "event-loss", "Fraction of cache events that are lost.", false, 0, "fraction", line);
+    ValueArg<unsigned> weightsLoadTime("", "load-time-ms", "Time to load new weights.", false, 500, "milliseconds", line);
     ValueArg<unsigned> importTime("", "import-time-us", "Time to import a piece.", false, 1000, "microseconds", line);
-    TCLAP::SwitchArg ignoreFencing("", "ignore-fencing", "Takes orders with an old fencing number too.", line);
+    TCLAP::SwitchArg ignoreFencing("", "ignore-fencing", "Accepts orders with an outdated fencing number.", line);
     TCLAP::MultiArg<std::string> models(
-        "m", "model", "A model loaded at the start; without any, every model is served.", false, "model[:adapter][@version]", line);
-    ValueArg<std::uint64_t> seed("", "seed", "Decides which cache events are lost.", false, 1, "number", line);
-    ValueArg<unsigned> callTime("", "call-time-us", "Time that a service call takes.", false, 1000, "microseconds", line);
+        "m", "model", "A model loaded at the start; if none is given, every model is served.", false, "model[:adapter][@version]", line);
+    ValueArg<std::uint64_t> seed("", "seed", "Seed that determines which cache events are lost.", false, 1, "number", line);
+    ValueArg<unsigned> callDuration("", "call-time-us", "Time that a service call takes.", false, 1000, "microseconds", line);
     line.parse(argc, argv);
 
     options.role = role.getValue();
@@ -67,10 +67,10 @@
     options.engine.decodeInterval = microseconds(decode.getValue());
     options.engine.cachePieces = pieces.getValue();
     options.engine.pieceSize.tokens = pieceTokens.getValue();
-    options.engine.loadLag = milliseconds(loadLag.getValue());
+    options.engine.loadReportLag = milliseconds(loadReportLag.getValue());
     options.engine.eventDelay = milliseconds(eventDelay.getValue());
-    options.engine.eventLoss = eventLoss.getValue();
-    options.engine.loadTime = milliseconds(loadTime.getValue());
+    options.engine.eventLossRate = eventLossRate.getValue();
+    options.engine.weightsLoadTime = milliseconds(weightsLoadTime.getValue());
     options.engine.importTimePerPiece = microseconds(importTime.getValue());
     options.engine.isCheckingFencing = !ignoreFencing.getValue();
     options.engine.seed = seed.getValue();
@@ -79,7 +79,7 @@
         options.engine.models.push_back(modelOf(model));
     }
     options.service.port = options.engine.port;
-    options.service.callTime = microseconds(callTime.getValue());
+    options.service.callDuration = microseconds(callDuration.getValue());
     options.service.faults = options.engine.faults;
     return options;
 }
--- a/src/apps/standin/standinoptions.h
+++ b/src/apps/standin/standinoptions.h
@@ -5,13 +5,13 @@
 
 #include <string>
 
-/// \brief The command line of verbena-standin.
+/// \brief Command line options of verbena-standin.
 struct StandinOptions
 {
     std::string role;
     Verbena::Standin::EngineOptions engine;
     Verbena::Standin::ServiceOptions service;
 
-    /// \brief Reads the command line; prints help, version or an error and exits where the user asked for that.
+    /// \brief Parses the command line. Prints help, version or an error and exits if requested or if the arguments are invalid.
     static StandinOptions parse(int argc, char **argv, const std::string &version);
 };
--- a/src/libs/load/answerchecker.cpp
+++ b/src/libs/load/answerchecker.cpp
@@ -21,7 +21,7 @@
     return name.size() == expected.size() && strncasecmp(name.data(), expected.data(), name.size()) == 0;
 }
 
-// Every token of every answer looks like this, with a space behind.
+// Returns whether \a token has the form of an answer token (without its trailing space).
 bool hasTokenShape(std::string_view token)
 {
     return token.size() == tokenLetters && std::ranges::all_of(token, [](char letter) { return letter >= 'a' && letter <= 'z'; });
@@ -72,14 +72,14 @@
 {
     const std::uint32_t before = m_receivedTokens;
     if (m_isStream && status == okStatus) {
-        m_parser.feed(data, [this](std::string_view event) { takeEvent(event); });
+        m_parser.feed(data, [this](std::string_view event) { handleEvent(event); });
     } else {
         m_body.append(data);
     }
     return m_receivedTokens - before;
 }
 
-void AnswerChecker::takeEvent(std::string_view data)
+void AnswerChecker::handleEvent(std::string_view data)
 {
     if (data == "[DONE]") {
         m_isDone = true;
@@ -87,76 +87,76 @@
     }
     const json event = json::parse(data, nullptr, false);
     if (!event.is_object()) {
-        fail(Outcome::Broken);
+        fail(Outcome::Corrupted);
         return;
     }
     if (event.contains("error")) {
         m_hasErrorEvent = true;
-        m_problem = data;
+        m_errorText = data;
         return;
     }
     if (event.contains("usage") && event["usage"].is_object()) {
         m_usage = usageOf(event["usage"]);
     }
     if (event.contains("choices") && event["choices"].is_array() && !event["choices"].empty()) {
-        takeText(textOf(event["choices"][0]));
+        handleText(textOf(event["choices"][0]));
     }
 }
 
-void AnswerChecker::takeText(std::string_view text)
+void AnswerChecker::handleText(std::string_view text)
 {
     if (m_isDone && !text.empty()) {
-        fail(Outcome::Broken);
+        fail(Outcome::Corrupted);
     }
     for (const char letter : text) {
         if (letter != ' ') {
             m_pendingToken += letter;
             continue;
         }
-        takeToken(m_pendingToken);
+        handleToken(m_pendingToken);
         m_pendingToken.clear();
     }
 }
 
-void AnswerChecker::takeToken(std::string_view token)
+void AnswerChecker::handleToken(std::string_view token)
 {
     ++m_receivedTokens;
     const std::string received = std::string(token) + " ";
-    if (m_goodTokens < m_answerTokens && received == m_answer.token(m_goodTokens)) {
-        ++m_goodTokens;
+    if (m_matchedTokens < m_answerTokens && received == m_answer.token(m_matchedTokens)) {
+        ++m_matchedTokens;
         return;
     }
     for (std::uint32_t i = 0; i < m_answerTokens; ++i) {
         if (received == m_answer.token(i)) {
-            fail(i < m_goodTokens ? Outcome::Doubled : Outcome::Broken);
+            fail(i < m_matchedTokens ? Outcome::Duplicated : Outcome::Corrupted);
             return;
         }
     }
-    fail(hasTokenShape(token) ? Outcome::Crossed : Outcome::Broken);
+    fail(hasTokenShape(token) ? Outcome::Misdelivered : Outcome::Corrupted);
 }
 
-// The first thing that is wrong decides, as it may be the cause of the rest.
+// Only the first fault is kept, as it may be the cause of the following faults.
 void AnswerChecker::fail(Outcome outcome)
 {
-    if (m_textOutcome == Outcome::Whole) {
+    if (m_textOutcome == Outcome::Complete) {
         m_textOutcome = outcome;
     }
 }
 
-void AnswerChecker::takeWholeBody()
+void AnswerChecker::handleBody()
 {
     const json body = json::parse(m_body, nullptr, false);
     if (!body.is_object()) {
-        fail(Outcome::Broken);
+        fail(Outcome::Corrupted);
         return;
     }
     if (body.contains("usage") && body["usage"].is_object()) {
         m_usage = usageOf(body["usage"]);
     }
     if (m_kind == RequestKind::ServiceCall) {
-        takeText(body.value("answer", ""));
+        handleText(body.value("answer", ""));
     } else if (body.contains("choices") && body["choices"].is_array() && !body["choices"].empty()) {
-        takeText(textOf(body["choices"][0]));
+        handleText(textOf(body["choices"][0]));
     }
     m_isDone = true;
 }
@@ -172,9 +172,9 @@
 Outcome AnswerChecker::finish(const Core::Result<int> &status)
 {
     if (!status) {
-        m_problem = status.error().toString();
+        m_errorText = status.error().toString();
     } else if (status.value() != okStatus) {
-        m_problem = std::to_string(status.value()) + " " + m_body;
+        m_errorText = std::to_string(status.value()) + " " + m_body;
     }
     if (!status && status.error().code == Core::ErrorCode::Unavailable) {
         return Outcome::Unreachable;
@@ -186,17 +186,17 @@
         return outcomeOfError();
     }
     if (status && !m_isStream) {
-        takeWholeBody();
+        handleBody();
     }
-    if (m_textOutcome != Outcome::Whole) {
+    if (m_textOutcome != Outcome::Complete) {
         return m_textOutcome;
     }
     if (m_hasErrorEvent) {
-        // What came before the error is right, and the caller was told that the rest will not come.
+        // The tokens before the error are correct, and the error told the caller that the rest is missing.
         return Outcome::Failed;
     }
-    const bool isWhole = status && m_isDone && m_pendingToken.empty() && m_goodTokens == m_answerTokens;
-    return isWhole ? Outcome::Whole : Outcome::Broken;
+    const bool isComplete = status && m_isDone && m_pendingToken.empty() && m_matchedTokens == m_answerTokens;
+    return isComplete ? Outcome::Complete : Outcome::Corrupted;
 }
 
 const TokenUsage &AnswerChecker::usage() const
@@ -206,7 +206,7 @@
 
 std::string AnswerChecker::explanation() const
 {
-    return m_problem.substr(0, maximumExplanationBytes);
+    return m_errorText.substr(0, maximumExplanationBytes);
 }
 
 const std::string &AnswerChecker::requestId() const
--- a/src/libs/load/answerchecker.h
+++ b/src/libs/load/answerchecker.h
@@ -11,53 +11,55 @@
 
 namespace Verbena::Load {
 
-/// \brief What became of a request, as its caller sees it.
+/// \brief Outcome of a request from the point of view of its caller.
 enum class Outcome {
-    Whole, ///< The answer that belongs to it, all of it, in order, once.
-    Broken, ///< Some of its own answer is missing, out of order or garbled.
-    Crossed, ///< Some of another request's answer came.
-    Doubled, ///< Some of its answer came twice.
-    Lost, ///< The connection ended without an answer or a word about it.
-    NotRun, ///< Refused with the word that it was not run.
-    Unknown, ///< Ended with the word that it may have run.
-    Failed, ///< Ended with an error that says it was run, or says nothing of that.
-    Unreachable, ///< No connection could be made.
+    Complete, ///< The expected answer arrived completely, in order and once.
+    Corrupted, ///< A part of the expected answer is missing, out of order or garbled.
+    Misdelivered, ///< A part of another request's answer arrived.
+    Duplicated, ///< A part of the expected answer arrived twice.
+    Lost, ///< The connection ended without an answer or an error message.
+    NotRun, ///< The error states that the request was not run.
+    Unknown, ///< The error states that the request may have run.
+    Failed, ///< The error states that the request was run, or doesn't state whether it was.
+    Unreachable, ///< No connection could be established.
 };
 
-/// \brief Tokens as the backend server counted them.
+/// \brief Token counts as reported by the backend server.
 struct TokenUsage
 {
     std::uint64_t promptTokens = 0;
     std::uint64_t cachedTokens = 0;
 };
 
-/// \brief Compares one answer with the one that belongs to its request, while it comes.
+/// \brief Compares the answer to a request with the expected answer while it arrives.
 class AnswerChecker
 {
 public:
     explicit AnswerChecker(const LoadRequest &request);
 
+    /// \brief Handles a header field of the answer.
     void receiveField(std::string_view name, std::string_view value);
 
-    /// \brief Takes a part of the body; returns how many tokens it brought.
+    /// \brief Handles a part of the body and returns the number of tokens that it completed.
     std::uint32_t receiveData(int status, std::string_view data);
 
-    /// \brief Takes the end of the exchange and judges it. Call once.
+    /// \brief Handles the end of the exchange and returns the outcome. Must be called once only.
     Outcome finish(const Core::Result<int> &status);
 
+    /// \brief Returns the token counts reported with the answer.
     const TokenUsage &usage() const;
 
-    /// \brief What the caller was told when the answer did not come whole, shortened.
+    /// \brief Returns the error that the caller received if the answer is not complete, shortened to 300 bytes.
     std::string explanation() const;
 
-    /// \brief The router's id of the request; empty if it gave none.
+    /// \brief Returns the request id assigned by the router; empty if there was none.
     const std::string &requestId() const;
 
 private:
-    void takeEvent(std::string_view data);
-    void takeText(std::string_view text);
-    void takeToken(std::string_view token);
-    void takeWholeBody();
+    void handleEvent(std::string_view data);
+    void handleText(std::string_view text);
+    void handleToken(std::string_view token);
+    void handleBody();
     void fail(Outcome outcome);
     Outcome outcomeOfError() const;
 
@@ -68,12 +70,12 @@
     Http::SseParser m_parser;
     std::string m_body;
     std::string m_pendingToken;
-    std::uint32_t m_goodTokens = 0;
+    std::uint32_t m_matchedTokens = 0;
     std::uint32_t m_receivedTokens = 0;
     bool m_isDone = false;
     bool m_hasErrorEvent = false;
-    std::string m_problem;
-    Outcome m_textOutcome = Outcome::Whole;
+    std::string m_errorText;
+    Outcome m_textOutcome = Outcome::Complete;
     std::string m_run;
     std::string m_requestId;
     TokenUsage m_usage;
--- a/src/libs/load/latencyhistogram.cpp
+++ b/src/libs/load/latencyhistogram.cpp
@@ -22,9 +22,9 @@
 {
 }
 
-void LatencyHistogram::record(std::chrono::nanoseconds span)
+void LatencyHistogram::record(std::chrono::nanoseconds duration)
 {
-    m_histogram(std::max(lowestSeconds, std::chrono::duration<double>(span).count()));
+    m_histogram(std::max(lowestSeconds, std::chrono::duration<double>(duration).count()));
     ++m_count;
 }
 
--- a/src/libs/load/latencyhistogram.h
+++ b/src/libs/load/latencyhistogram.h
@@ -8,21 +8,23 @@
 
 namespace Verbena::Load {
 
-/// \brief Counts spans from 1 microsecond to 1,000 seconds in logarithmic bins that are 2.3 % wide.
+/// \brief Histogram of durations from 1 microsecond to 1,000 seconds, with logarithmic bins that are 2.3 % wide.
 class LatencyHistogram
 {
 public:
     LatencyHistogram();
 
-    void record(std::chrono::nanoseconds span);
+    /// \brief Records \a duration; durations below 1 microsecond count as 1 microsecond.
+    void record(std::chrono::nanoseconds duration);
+    /// \brief Adds the counts of \a other.
     void add(const LatencyHistogram &other);
 
     std::uint64_t count() const;
 
-    /// \brief The middle of the bin that holds quantile \a q (0 to 1); 0 while nothing has been recorded.
+    /// \brief Returns the middle of the bin that contains quantile \a q (0 to 1); 0 if nothing has been recorded.
     std::chrono::nanoseconds quantile(double q) const;
 
-    /// \brief Lines for a terminal: one bar for every three bins of a decade that holds anything.
+    /// \brief Returns text for a terminal with one bar for each fifth of a decade (20 bins) that has entries.
     std::string toText() const;
 
 private:
--- a/src/libs/load/loadreport.cpp
+++ b/src/libs/load/loadreport.cpp
@@ -18,10 +18,10 @@
 };
 
 constexpr std::array<NamedOutcome, 9> namedOutcomes{{
-    {Outcome::Whole, "whole"},
-    {Outcome::Broken, "broken"},
-    {Outcome::Crossed, "crossed"},
-    {Outcome::Doubled, "doubled"},
+    {Outcome::Complete, "whole"},
+    {Outcome::Corrupted, "broken"},
+    {Outcome::Misdelivered, "crossed"},
+    {Outcome::Duplicated, "doubled"},
     {Outcome::Lost, "lost"},
     {Outcome::NotRun, "not_run"},
     {Outcome::Unknown, "unknown"},
@@ -36,9 +36,9 @@
     return std::ranges::find(namedOutcomes, outcome, &NamedOutcome::outcome)->name;
 }
 
-double milliseconds(std::chrono::nanoseconds span)
+double milliseconds(std::chrono::nanoseconds duration)
 {
-    return std::chrono::duration<double, std::milli>(span).count();
+    return std::chrono::duration<double, std::milli>(duration).count();
 }
 
 ordered_json jsonOf(const LatencyHistogram &histogram)
@@ -66,7 +66,7 @@
     json["hit_rate"] = hitRate(tally.usage);
     json["time_to_first_token_ms"] = jsonOf(tally.firstToken);
     json["between_tokens_ms"] = jsonOf(tally.betweenTokens);
-    json["whole_answer_ms"] = jsonOf(tally.wholeAnswer);
+    json["whole_answer_ms"] = jsonOf(tally.completeAnswer);
     return json;
 }
 
@@ -87,7 +87,7 @@
     usage.cachedTokens += other.usage.cachedTokens;
     firstToken.add(other.firstToken);
     betweenTokens.add(other.betweenTokens);
-    wholeAnswer.add(other.wholeAnswer);
+    completeAnswer.add(other.completeAnswer);
 }
 
 LoadReport::LoadReport(std::vector<std::string> organisations)
@@ -110,9 +110,9 @@
     return sum;
 }
 
-void LoadReport::addDoubledRuns(std::uint64_t count)
+void LoadReport::addDuplicateRuns(std::uint64_t count)
 {
-    m_doubledRuns += count;
+    m_duplicateRuns += count;
 }
 
 void LoadReport::addFalseNotRuns(std::uint64_t count)
@@ -120,9 +120,9 @@
     m_falseNotRuns += count;
 }
 
-void LoadReport::recordLateness(std::chrono::nanoseconds span)
+void LoadReport::recordLateness(std::chrono::nanoseconds duration)
 {
-    m_lateness.record(span);
+    m_lateness.record(duration);
 }
 
 void LoadReport::addExample(Outcome outcome, const std::string &explanation)
@@ -136,15 +136,15 @@
 bool LoadReport::isClean() const
 {
     const LoadTally sum = total();
-    const std::uint64_t wrong = sum.count(Outcome::Broken) + sum.count(Outcome::Crossed) + sum.count(Outcome::Doubled) + sum.count(Outcome::Lost);
-    return wrong + m_doubledRuns + m_falseNotRuns == 0;
+    const std::uint64_t wrong = sum.count(Outcome::Corrupted) + sum.count(Outcome::Misdelivered) + sum.count(Outcome::Duplicated) + sum.count(Outcome::Lost);
+    return wrong + m_duplicateRuns + m_falseNotRuns == 0;
 }
 
 std::string LoadReport::toJson() const
 {
     const LoadTally sum = total();
     ordered_json root = jsonOf(sum);
-    root["doubled"] = sum.count(Outcome::Doubled) + m_doubledRuns;
+    root["doubled"] = sum.count(Outcome::Duplicated) + m_duplicateRuns;
     root["false_not_run"] = m_falseNotRuns;
     root["send_lateness_ms"] = jsonOf(m_lateness);
     for (const auto &[outcome, examples] : m_examples) {
@@ -162,8 +162,8 @@
     std::ostringstream text;
     text << "sent " << sum.sent;
     for (const NamedOutcome &named : namedOutcomes) {
-        const bool isDoubled = named.outcome == Outcome::Doubled;
-        text << ", " << named.name << ' ' << sum.count(named.outcome) + (isDoubled ? m_doubledRuns : 0);
+        const bool isDuplicated = named.outcome == Outcome::Duplicated;
+        text << ", " << named.name << ' ' << sum.count(named.outcome) + (isDuplicated ? m_duplicateRuns : 0);
     }
     text << ", false not-run " << m_falseNotRuns << "\nhit rate " << hitRate(sum.usage) << " (" << sum.usage.cachedTokens << " of " << sum.usage.promptTokens
          << " prompt tokens)\ntime to first token:\n"
--- a/src/libs/load/loadreport.h
+++ b/src/libs/load/loadreport.h
@@ -11,21 +11,21 @@
 
 namespace Verbena::Load {
 
-/// \brief Counts and spans of one organisation, or of all.
+/// \brief Counts and latencies of one organisation or of all organisations.
 struct LoadTally
 {
     std::uint64_t sent = 0;
-    std::array<std::uint64_t, 9> outcomes{}; ///< By Outcome.
+    std::array<std::uint64_t, 9> outcomes{}; ///< Number of requests by Outcome.
     TokenUsage usage;
-    LatencyHistogram firstToken; ///< From sending a streamed request to its first token.
-    LatencyHistogram betweenTokens;
-    LatencyHistogram wholeAnswer; ///< From sending a request to the end of a whole answer.
+    LatencyHistogram firstToken; ///< Time from sending a request to its first streamed token.
+    LatencyHistogram betweenTokens; ///< Time between tokens of a streamed answer.
+    LatencyHistogram completeAnswer; ///< Time from sending a request to the end of its answer, for complete answers.
 
     std::uint64_t count(Outcome outcome) const;
     void add(const LoadTally &other);
 };
 
-/// \brief What was measured in one run of the load.
+/// \brief Results of one load run.
 class LoadReport
 {
 public:
@@ -34,30 +34,31 @@
     LoadTally &tally(std::size_t organisation);
     LoadTally total() const;
 
-    /// \brief Notes that \a count requests ran more often than they may.
-    void addDoubledRuns(std::uint64_t count);
+    /// \brief Adds \a count requests that ran more often than allowed.
+    void addDuplicateRuns(std::uint64_t count);
 
-    /// \brief Notes that \a count requests had run though their callers were told that they had not.
+    /// \brief Adds \a count requests that ran although they were reported as not run.
     void addFalseNotRuns(std::uint64_t count);
 
-    /// \brief Notes how late a request was sent after its moment had come.
-    void recordLateness(std::chrono::nanoseconds span);
+    /// \brief Records the delay between the scheduled and the actual time of sending a request.
+    void recordLateness(std::chrono::nanoseconds duration);
 
-    /// \brief Keeps \a explanation as an example of \a outcome, unless there are enough already.
+    /// \brief Stores \a explanation as an example of \a outcome, up to three for each outcome.
     void addExample(Outcome outcome, const std::string &explanation);
 
-    /// \brief True if nothing was lost, broken, crossed, doubled or untruly called not run.
+    /// \brief Returns whether no answer was lost, corrupted, misdelivered or duplicated and no request ran twice or was falsely reported as not run.
     bool isClean() const;
 
+    /// \brief Returns the report as a JSON object.
     std::string toJson() const;
 
-    /// \brief Counts, hit rate and histograms for a terminal.
+    /// \brief Returns counts, hit rate and histograms as text for a terminal.
     std::string toText() const;
 
 private:
     std::vector<std::string> m_organisations;
     std::vector<LoadTally> m_tallies;
-    std::uint64_t m_doubledRuns = 0;
+    std::uint64_t m_duplicateRuns = 0;
     std::uint64_t m_falseNotRuns = 0;
     LatencyHistogram m_lateness;
     std::map<Outcome, std::vector<std::string>> m_examples;
--- a/src/libs/load/loadrequest.h
+++ b/src/libs/load/loadrequest.h
@@ -8,15 +8,15 @@
 
 namespace Verbena::Load {
 
-/// \brief The interface that a request is sent by.
+/// \brief API that a request uses.
 enum class RequestKind {
     TextCompletion,
     TokenCompletion,
     ChatCompletion,
-    ServiceCall, ///< Marked non-idempotent, with a key of its own.
+    ServiceCall, ///< Call of a plain service, marked non-idempotent, with its own idempotency key.
 };
 
-/// \brief One request and the answer that belongs to it.
+/// \brief Request and its expected answer.
 struct LoadRequest
 {
     RequestKind kind = RequestKind::TextCompletion;
--- a/src/libs/load/loadtask.cpp
+++ b/src/libs/load/loadtask.cpp
@@ -14,7 +14,7 @@
 
 } // namespace
 
-/// Checks one answer and notes its times.
+/// Checks one answer and records its latencies.
 class LoadTask::AnswerReceiver : public Http::HttpReceiver
 {
 public:
@@ -52,12 +52,12 @@
         LoadTally &tally = m_task.m_report.tally(m_request.organisation);
         tally.usage.promptTokens += m_checker.usage().promptTokens;
         tally.usage.cachedTokens += m_checker.usage().cachedTokens;
-        if (outcome == Outcome::Whole) {
-            tally.wholeAnswer.record(Core::Clock::now() - m_sentAt);
+        if (outcome == Outcome::Complete) {
+            tally.completeAnswer.record(Core::Clock::now() - m_sentAt);
         } else {
             m_task.m_report.addExample(outcome, m_checker.explanation());
         }
-        m_task.finishOne(m_request, outcome);
+        m_task.handleOutcome(m_request, outcome);
     }
 
 private:
@@ -68,7 +68,7 @@
     std::optional<Core::TimePoint> m_lastTokenAt;
 };
 
-/// Collects the list of runs of one service.
+/// Receives the list of runs of one service.
 class LoadTask::RunsReceiver : public Http::HttpReceiver
 {
 public:
@@ -85,7 +85,7 @@
 
     void finish(Core::Result<int> status) override
     {
-        m_task.finishRuns(m_url, status, m_body);
+        m_task.handleRuns(m_url, status, m_body);
     }
 
 private:
@@ -97,7 +97,7 @@
 Core::Result<std::unique_ptr<LoadTask>> LoadTask::create(EventLoop::Loop &loop, const LoadOptions &options)
 {
     if (options.targets.empty()) {
-        return Core::Error{Core::ErrorCode::InvalidArgument, "load.start", "", "There is no target to send to."};
+        return Core::Error{Core::ErrorCode::InvalidArgument, "load.start", "", "No target is given."};
     }
     std::unique_ptr<LoadTask> task(new LoadTask(loop, options));
     BOOST_OUTCOME_TRY(created, Http::HttpClient::create(loop));
@@ -111,7 +111,7 @@
     , m_workload(options.workload)
     , m_report(Workload::organisations(options.workload.kind))
     , m_random(options.workload.seed)
-    , m_sendTimer(loop, [this] { sendDue(); })
+    , m_sendTimer(loop, [this] { sendDueRequests(); })
     , m_progressTimer(loop, [this] { showProgress(); })
 {
 }
@@ -144,7 +144,7 @@
     return m_problems;
 }
 
-void LoadTask::sendDue()
+void LoadTask::sendDueRequests()
 {
     std::exponential_distribution<double> gap(m_options.requestsPerSecond);
     while (m_nextDue <= Core::Clock::now() && m_nextDue < m_endsAt) {
@@ -173,7 +173,7 @@
         request.body.clear();
     }
     ++m_sentCount;
-    ++m_openCount;
+    ++m_pendingCount;
     ++m_report.tally(request.organisation).sent;
     const Core::TimePoint now = Core::Clock::now();
     m_report.recordLateness(now - due);
@@ -181,46 +181,46 @@
     m_client->start(call, std::make_shared<AnswerReceiver>(*this, std::move(request)));
 }
 
-void LoadTask::finishOne(const LoadRequest &request, Outcome outcome)
+void LoadTask::handleOutcome(const LoadRequest &request, Outcome outcome)
 {
     ++m_report.tally(request.organisation).outcomes[static_cast<std::size_t>(outcome)];
     if (outcome == Outcome::NotRun && request.kind == RequestKind::ServiceCall) {
         m_runs.addNotRun(request.body);
     }
-    --m_openCount;
+    --m_pendingCount;
     finishIfDone();
 }
 
 void LoadTask::finishIfDone()
 {
-    if (!m_isSending && m_openCount == 0) {
-        askForRuns();
+    if (!m_isSending && m_pendingCount == 0) {
+        requestRuns();
     }
 }
 
-void LoadTask::askForRuns()
+void LoadTask::requestRuns()
 {
-    m_runsMissing = m_options.serviceUrls.size();
+    m_pendingRunLists = m_options.serviceUrls.size();
     for (const std::string &url : m_options.serviceUrls) {
         Http::HttpCall call;
         call.url = url + "/runs";
         call.deadline = m_loop.now() + runsTimeout;
         m_client->start(call, std::make_shared<RunsReceiver>(*this, call.url));
     }
-    if (m_runsMissing == 0) {
+    if (m_pendingRunLists == 0) {
         end();
     }
 }
 
-void LoadTask::finishRuns(const std::string &url, const Core::Result<int> &status, const std::string &body)
+void LoadTask::handleRuns(const std::string &url, const Core::Result<int> &status, const std::string &body)
 {
     if (!status) {
         m_problems += url + ": " + status.error().toString() + "\n";
-    } else if (const Core::Result<void> taken = m_runs.takeRuns(body); !taken) {
-        m_problems += url + ": " + taken.error().toString() + "\n";
+    } else if (const Core::Result<void> added = m_runs.addRuns(body); !added) {
+        m_problems += url + ": " + added.error().toString() + "\n";
     }
-    if (--m_runsMissing == 0) {
-        m_report.addDoubledRuns(m_runs.doubledCount());
+    if (--m_pendingRunLists == 0) {
+        m_report.addDuplicateRuns(m_runs.duplicateCount());
         m_report.addFalseNotRuns(m_runs.falseNotRunCount());
         end();
     }
@@ -238,7 +238,7 @@
 void LoadTask::showProgress()
 {
     const LoadTally total = m_report.total();
-    std::cerr << "\rsent " << total.sent << ", open " << m_openCount << ", whole " << total.count(Outcome::Whole) << ", not run "
+    std::cerr << "\rsent " << total.sent << ", open " << m_pendingCount << ", whole " << total.count(Outcome::Complete) << ", not run "
               << total.count(Outcome::NotRun) << "   " << std::flush;
     m_progressTimer.startAt(m_loop.now() + progressInterval);
 }
--- a/src/libs/load/loadtask.h
+++ b/src/libs/load/loadtask.h
@@ -20,35 +20,35 @@
 
 namespace Verbena::Load {
 
-/// \brief What is sent where, and for how long.
+/// \brief Options of a load run.
 struct LoadOptions
 {
-    std::vector<std::string> targets; ///< For instance "http://127.0.0.1:8080"; requests go to each in turn.
-    std::vector<std::string> serviceUrls; ///< Of the plain services, whose `GET /runs` is compared in the end.
-    double requestsPerSecond = 50;
-    std::chrono::milliseconds duration{10'000}; ///< Requests are sent for so long; answers are waited for after that.
-    std::chrono::milliseconds timeout{30'000}; ///< Of each request.
-    bool isKeepingConnections = false; ///< Uses connections again; libcurl then repeats a request on one that turns out to be dead.
-    bool isShowingProgress = false; ///< One line on standard error that is written over.
+    std::vector<std::string> targets; ///< URLs such as "http://127.0.0.1:8080"; requests are sent to them in turn.
+    std::vector<std::string> serviceUrls; ///< URLs of the plain services whose `GET /runs` is checked after the run.
+    double requestsPerSecond = 50; ///< Mean rate; the intervals are exponentially distributed.
+    std::chrono::milliseconds duration{10'000}; ///< Time for which requests are sent; the task then waits for outstanding answers.
+    std::chrono::milliseconds timeout{30'000}; ///< Timeout of each request.
+    bool isKeepingConnections = false; ///< Whether connections are reused. libcurl then repeats a request if a reused connection turns out to be dead.
+    bool isShowingProgress = false; ///< Whether a progress line is shown and updated on standard error.
     WorkloadOptions workload;
 };
 
-/// \brief Sends requests at random moments, whether earlier ones have been answered or not, and checks every answer.
+/// \brief Open-loop load generator: sends requests at random times, independent of earlier answers, and checks every answer.
 class LoadTask
 {
 public:
-    /// \brief Makes a task that ends \a loop when all is done. Errors: InvalidArgument without a target, Internal.
+    /// \brief Creates a task that stops \a loop when it has finished. Errors: InvalidArgument without a target, Internal.
     static Core::Result<std::unique_ptr<LoadTask>> create(EventLoop::Loop &loop, const LoadOptions &options);
 
-    /// \brief Begins to send.
+    /// \brief Starts to send requests.
     void start();
 
-    /// \brief Stops sending; waits for the answers that are missing.
+    /// \brief Stops sending; the task finishes when the outstanding answers have arrived.
     void stopSending();
 
     const LoadReport &report() const;
 
-    /// \brief What could not be compared, one sentence a line; empty if nothing.
+    /// \brief Returns the errors of checking the services' runs, one per line; empty if there were none.
     const std::string &problems() const;
 
 private:
@@ -56,12 +56,12 @@
     class RunsReceiver;
 
     LoadTask(EventLoop::Loop &loop, const LoadOptions &options);
-    void sendDue();
+    void sendDueRequests();
     void send(Core::TimePoint due);
-    void finishOne(const LoadRequest &request, Outcome outcome);
+    void handleOutcome(const LoadRequest &request, Outcome outcome);
     void finishIfDone();
-    void askForRuns();
-    void finishRuns(const std::string &url, const Core::Result<int> &status, const std::string &body);
+    void requestRuns();
+    void handleRuns(const std::string &url, const Core::Result<int> &status, const std::string &body);
     void end();
     void showProgress();
 
@@ -78,8 +78,8 @@
     Core::TimePoint m_endsAt;
     bool m_isSending = false;
     std::uint64_t m_sentCount = 0;
-    std::uint64_t m_openCount = 0;
-    std::size_t m_runsMissing = 0;
+    std::uint64_t m_pendingCount = 0;
+    std::size_t m_pendingRunLists = 0;
     std::string m_problems;
 };
 
--- a/src/libs/load/runscheck.cpp
+++ b/src/libs/load/runscheck.cpp
@@ -18,11 +18,11 @@
     m_notRun.insert(Standin::RunList::bodyHash(body));
 }
 
-Core::Result<void> RunsCheck::takeRuns(const std::string &json)
+Core::Result<void> RunsCheck::addRuns(const std::string &json)
 {
     const nlohmann::json root = nlohmann::json::parse(json, nullptr, false);
     if (!root.is_object() || !root.contains("runs") || !root["runs"].is_array()) {
-        return Core::Error{Core::ErrorCode::InvalidArgument, "load.runs", "", "The list of runs cannot be read."};
+        return Core::Error{Core::ErrorCode::InvalidArgument, "load.runs", "", "The list of runs is invalid."};
     }
     for (const nlohmann::json &run : root["runs"]) {
         const auto found = m_runsOfBody.find(run.value("body_hash", ""));
@@ -33,7 +33,7 @@
     return Core::success();
 }
 
-std::uint64_t RunsCheck::doubledCount() const
+std::uint64_t RunsCheck::duplicateCount() const
 {
     return static_cast<std::uint64_t>(std::ranges::count_if(m_runsOfBody, [](const auto &entry) { return entry.second > 1; }));
 }
--- a/src/libs/load/runscheck.h
+++ b/src/libs/load/runscheck.h
@@ -9,27 +9,27 @@
 
 namespace Verbena::Load {
 
-/// \brief Compares what the callers were told with what the plain services executed.
+/// \brief Compares the outcomes reported to the callers with the calls that the plain services executed.
 class RunsCheck
 {
 public:
-    /// \brief Notes that the request with \a body may run at most once.
+    /// \brief Adds a request with \a body that may run at most once.
     void addNonIdempotent(const std::string &body);
 
-    /// \brief Notes that the caller of the request with \a body was told that it was not run.
+    /// \brief Records that the request with \a body was reported to its caller as not run.
     void addNotRun(const std::string &body);
 
-    /// \brief Takes the answer of a service's `GET /runs`. Errors: InvalidArgument.
-    Core::Result<void> takeRuns(const std::string &json);
+    /// \brief Adds the runs in the answer to a service's `GET /runs`. Errors: InvalidArgument.
+    Core::Result<void> addRuns(const std::string &json);
 
-    /// \brief Requests that ran more than once.
-    std::uint64_t doubledCount() const;
+    /// \brief Returns the number of requests that ran more than once.
+    std::uint64_t duplicateCount() const;
 
-    /// \brief Requests that ran though they were called not run.
+    /// \brief Returns the number of requests that ran although they were reported as not run.
     std::uint64_t falseNotRunCount() const;
 
 private:
-    std::unordered_map<std::string, std::uint32_t> m_runsOfBody; ///< By the hash of the body.
+    std::unordered_map<std::string, std::uint32_t> m_runsOfBody; ///< Number of runs by body hash.
     std::unordered_set<std::string> m_notRun;
 };
 
--- a/src/libs/load/workload.cpp
+++ b/src/libs/load/workload.cpp
@@ -69,19 +69,19 @@
 {
     ++m_count;
     const std::size_t organisation = m_chooseOrganisation(m_random);
-    LoadRequest request = hits(m_options.serviceShare) ? serviceCall(organisation) : completion(organisation);
+    LoadRequest request = randomChance(m_options.serviceShare) ? serviceCall(organisation) : completion(organisation);
     request.organisation = organisation;
     request.fields.emplace_back("Content-Type: application/json");
     request.fields.emplace_back("Authorization: Bearer " + apiKey(m_organisations[organisation]));
     return request;
 }
 
-bool Workload::hits(double share)
+bool Workload::randomChance(double share)
 {
     return std::uniform_real_distribution<double>(0, 1)(m_random) < share;
 }
 
-std::size_t Workload::zipf(std::size_t count)
+std::size_t Workload::sampleZipf(std::size_t count)
 {
     std::vector<double> weights;
     for (std::size_t rank = 1; rank <= count; ++rank) {
@@ -93,10 +93,10 @@
 std::string Workload::prefix(std::size_t organisation)
 {
     std::string text;
-    // The first level of Kalari is the state's rulebook, which everybody has.
+    // The first level of Kalari is a rulebook that all organisations share, so its path starts without an organisation.
     std::string path = m_options.kind == WorkloadKind::Kessick ? m_organisations[organisation] : "";
     for (const Level &level : levels(m_options.kind)) {
-        path += std::string("/") + level.name + std::to_string(zipf(level.siblings));
+        path += std::string("/") + level.name + std::to_string(sampleZipf(level.siblings));
         text += levelText(path, level.pieces * m_options.pieceBytes);
     }
     return text;
@@ -133,11 +133,11 @@
         = "Question " + std::to_string(m_options.seed) + "-" + std::to_string(m_count) + ": is a trigger level passed? Answer with a short verdict.";
     const std::string prompt = prefix(organisation) + question;
     request.answerTokens = m_options.answerTokens;
-    request.isStream = !hits(m_options.wholeShare);
-    if (hits(m_options.tokenShare)) {
-        fillTokens(request, prompt);
+    request.isStream = !randomChance(m_options.nonStreamedShare);
+    if (randomChance(m_options.tokenShare)) {
+        setTokenPrompt(request, prompt);
     } else {
-        fillText(request, prompt, hits(m_options.chatShare) ? RequestKind::ChatCompletion : RequestKind::TextCompletion);
+        setTextPrompt(request, prompt, randomChance(m_options.chatShare) ? RequestKind::ChatCompletion : RequestKind::TextCompletion);
     }
     return request;
 }
@@ -151,14 +151,14 @@
     return body;
 }
 
-void Workload::fillText(LoadRequest &request, const std::string &prompt, RequestKind kind) const
+void Workload::setTextPrompt(LoadRequest &request, const std::string &prompt, RequestKind kind) const
 {
     request.kind = kind;
     json body = commonBody(request);
     if (kind == RequestKind::ChatCompletion) {
         request.path = "/v1/chat/completions";
         body["messages"] = json::array({{{"role", "user"}, {"content", prompt}}});
-        // The router makes one text of a chat, and that is what the engine sees.
+        // The router converts a chat into this text before it sends it to the engine.
         request.answer = Standin::AnswerText("<|user|>\n" + prompt + "\n<|assistant|>\n");
     } else {
         request.path = "/v1/completions";
@@ -168,7 +168,7 @@
     request.body = body.dump();
 }
 
-void Workload::fillTokens(LoadRequest &request, const std::string &prompt) const
+void Workload::setTokenPrompt(LoadRequest &request, const std::string &prompt) const
 {
     request.kind = RequestKind::TokenCompletion;
     request.path = "/v1/completions";
--- a/src/libs/standin/answertext.cpp
+++ b/src/libs/standin/answertext.cpp
@@ -25,7 +25,7 @@
     return text + " ";
 }
 
-std::string AnswerText::whole(std::uint32_t count) const
+std::string AnswerText::firstTokens(std::uint32_t count) const
 {
     std::string text;
     for (std::uint32_t i = 0; i < count; ++i) {
--- a/src/libs/standin/completionrequest.cpp
+++ b/src/libs/standin/completionrequest.cpp
@@ -30,7 +30,7 @@
 {
     const json root = json::parse(body, nullptr, false);
     if (!root.is_object() || !root.contains("prompt")) {
-        return Core::Error{Core::ErrorCode::InvalidArgument, "standin.request", "", "This is not a completion request."};
+        return Core::Error{Core::ErrorCode::InvalidArgument, "standin.request", "", "The body is not a JSON object with a prompt."};
     }
     CompletionRequest request;
     try {
@@ -53,8 +53,8 @@
             request.promptTokens = static_cast<std::uint32_t>(tokens.size());
             request.m_pieceBytes = pieceSize.tokens * sizeof(std::uint32_t);
         }
-    } catch (const json::exception &problem) {
-        return Core::Error{Core::ErrorCode::InvalidArgument, "standin.request", "", problem.what()};
+    } catch (const json::exception &exception) {
+        return Core::Error{Core::ErrorCode::InvalidArgument, "standin.request", "", exception.what()};
     }
     request.prefillTokens = request.promptTokens + request.resumeTokens;
     return request;
--- a/src/libs/standin/enginebatch.cpp
+++ b/src/libs/standin/enginebatch.cpp
@@ -9,7 +9,8 @@
 
 namespace {
 
-// Prompts are prefilled at most so much at a time, or for as long as a decode step, so that a long one does not hold up the answers of others.
+// Minimum prefill budget of a step. A step prefills at most this many tokens, or as many as fit into one decode interval if that is more, so that a long prompt
+// doesn't delay the answers to other requests.
 constexpr std::uint32_t prefillChunkTokens = 2048;
 
 std::uint32_t prefillBudget(const EngineOptions &options)
@@ -18,7 +19,7 @@
     return static_cast<std::uint32_t>(std::max<double>(prefillChunkTokens, std::min<double>(tokens, UINT32_MAX)));
 }
 
-// Until a process that is to crash has sent what it wrote before.
+// Delay before a crash, so that data written before is sent.
 constexpr std::chrono::milliseconds crashDelay{20};
 
 } // namespace
@@ -42,7 +43,7 @@
     };
     const auto place = std::upper_bound(m_waiting.begin(), m_waiting.end(), sequence->request().priority, isLater);
     m_waiting.insert(place, std::move(sequence));
-    planStep();
+    scheduleStep();
 }
 
 bool EngineBatch::cancel(const std::string &requestId)
@@ -51,7 +52,7 @@
     for (const Sequences *list : {&m_waiting, &m_running}) {
         for (const auto &sequence : *list) {
             if (sequence->requestId() == requestId) {
-                sequence->cut();
+                sequence->abort();
                 cancelled.push_back(sequence->run());
             }
         }
@@ -73,9 +74,9 @@
     }
 }
 
-void EngineBatch::wake()
+void EngineBatch::resume()
 {
-    planStep();
+    scheduleStep();
 }
 
 std::size_t EngineBatch::runningCount() const
@@ -92,13 +93,13 @@
 {
     while (m_running.size() < m_options.batchSize && !m_waiting.empty()) {
         EngineSequence &sequence = *m_waiting.front();
-        sequence.beginPrefill(m_cache.use(sequence.request().pieces), m_options.pieceSize);
+        sequence.beginPrefill(m_cache.lookUp(sequence.request().pieces), m_options.pieceSize);
         m_running.push_back(std::move(m_waiting.front()));
         m_waiting.erase(m_waiting.begin());
     }
 }
 
-void EngineBatch::planStep()
+void EngineBatch::scheduleStep()
 {
     if (m_isStepping || m_stepTimer.isActive() || m_isCrashing || m_faults.isHanging) {
         return;
@@ -110,13 +111,13 @@
     std::uint32_t prefill = 0;
     bool isDecoding = false;
     for (const auto &sequence : m_running) {
-        prefill += sequence->prefillLeft();
-        isDecoding = isDecoding || sequence->prefillLeft() == 0;
+        prefill += sequence->remainingPrefill();
+        isDecoding = isDecoding || sequence->remainingPrefill() == 0;
     }
     const double prefillSeconds = static_cast<double>(std::min(prefill, m_prefillBudget)) / m_options.prefillTokensPerSecond;
     const double decodeSeconds = isDecoding ? std::chrono::duration<double>(m_options.decodeInterval).count() : 0;
-    const std::chrono::duration<double> span((prefillSeconds + decodeSeconds) * m_faults.slowFactor);
-    m_stepTimer.startAt(m_loop.now() + std::chrono::duration_cast<std::chrono::microseconds>(span));
+    const std::chrono::duration<double> duration((prefillSeconds + decodeSeconds) * m_faults.slowFactor);
+    m_stepTimer.startAt(m_loop.now() + std::chrono::duration_cast<std::chrono::microseconds>(duration));
 }
 
 void EngineBatch::step()
@@ -126,55 +127,55 @@
     }
     m_isStepping = true;
     std::uint32_t budget = m_prefillBudget;
-    // Writing an answer never removes a sequence here, as the callers' going is noticed on the loop only.
+    // Writing an answer never removes a sequence during this loop, as disconnected callers are reported by the event loop only.
     for (const auto &sequence : m_running) {
         if (m_isCrashing) {
             break;
         }
-        if (sequence->prefillLeft() == 0) {
-            advance(*sequence);
+        if (sequence->remainingPrefill() == 0) {
+            generateNextToken(*sequence);
             continue;
         }
-        const std::uint32_t share = std::min(budget, sequence->prefillLeft());
+        const std::uint32_t share = std::min(budget, sequence->remainingPrefill());
         budget -= share;
         sequence->prefill(share);
-        if (share > 0 && sequence->prefillLeft() == 0) {
+        if (share > 0 && sequence->remainingPrefill() == 0) {
             m_cache.store(sequence->request().root, sequence->request().pieces, sequence->requestId(), m_loop.now());
-            advance(*sequence);
+            generateNextToken(*sequence);
         }
     }
     removeEnded();
     m_isStepping = false;
-    planStep();
+    scheduleStep();
 }
 
-void EngineBatch::advance(EngineSequence &sequence)
+void EngineBatch::generateNextToken(EngineSequence &sequence)
 {
     if (m_faults.cutAfterTokens && sequence.generatedTokens() >= *m_faults.cutAfterTokens) {
-        m_faults.consumeOne();
-        cut(sequence, RunState::Cancelled);
+        m_faults.recordOccurrence();
+        abort(sequence, RunState::Cancelled);
         return;
     }
-    if (!sequence.isWhole()) {
-        sequence.generate();
+    if (!sequence.isComplete()) {
+        sequence.generateToken();
     }
-    afterToken(sequence);
+    handleTokenGenerated(sequence);
 }
 
-void EngineBatch::afterToken(EngineSequence &sequence)
+void EngineBatch::handleTokenGenerated(EngineSequence &sequence)
 {
     if (m_faults.crash == CrashPoint::AtToken && sequence.generatedTokens() >= m_faults.crashToken) {
-        crashSoon();
+        scheduleCrash();
         return;
     }
-    if (!sequence.isWhole()) {
+    if (!sequence.isComplete()) {
         return;
     }
     if (m_faults.crash == CrashPoint::AfterLastToken) {
-        crashSoon();
+        scheduleCrash();
     } else if (m_faults.isLosingAnswers) {
-        m_faults.consumeOne();
-        cut(sequence, RunState::Finished);
+        m_faults.recordOccurrence();
+        abort(sequence, RunState::Finished);
     } else {
         finish(sequence);
     }
@@ -187,14 +188,14 @@
     m_ended.push_back(&sequence);
 }
 
-void EngineBatch::cut(EngineSequence &sequence, RunState state)
+void EngineBatch::abort(EngineSequence &sequence, RunState state)
 {
     m_runs.setState(sequence.run(), state);
-    sequence.cut();
+    sequence.abort();
     m_ended.push_back(&sequence);
 }
 
-void EngineBatch::crashSoon()
+void EngineBatch::scheduleCrash()
 {
     m_isCrashing = true;
     m_crashTimer.startAt(m_loop.now() + crashDelay);
--- a/src/libs/standin/enginebatch.h
+++ b/src/libs/standin/enginebatch.h
@@ -16,39 +16,39 @@
 
 namespace Verbena::Standin {
 
-/// \brief Continuous batching: in each step some prompts are prefilled in part and every prefilled request gets one token.
+/// \brief Batch of running requests with continuous batching. Each step prefills some prompts in part and generates one token for every prefilled request.
 class EngineBatch
 {
 public:
     using Sequences = std::vector<std::unique_ptr<EngineSequence>>;
 
-    /// \brief Works on \a cache and \a runs; \a faults may change at any time.
+    /// \brief Creates a batch that updates \a cache and \a runs. \a faults may change at any time.
     EngineBatch(EventLoop::Loop &loop, const EngineOptions &options, PrefixCache &cache, RunList &runs, Faults &faults);
 
-    /// \brief Queues a request by its priority.
+    /// \brief Queues \a sequence by its priority.
     void add(std::unique_ptr<EngineSequence> sequence);
 
-    /// \brief Ends all runs of a request without an answer; true if there was one.
+    /// \brief Aborts all runs of the request \a requestId without an answer. Returns whether there was a run.
     bool cancel(const std::string &requestId);
 
-    /// \brief Forgets one run whose caller has gone.
+    /// \brief Removes \a run, whose caller has disconnected.
     void remove(RunId run);
 
-    /// \brief Goes on after a hang.
-    void wake();
+    /// \brief Continues after a hang.
+    void resume();
 
     std::size_t runningCount() const;
     std::size_t queuedCount() const;
 
 private:
     void admit();
-    void planStep();
+    void scheduleStep();
     void step();
-    void advance(EngineSequence &sequence);
-    void afterToken(EngineSequence &sequence);
+    void generateNextToken(EngineSequence &sequence);
+    void handleTokenGenerated(EngineSequence &sequence);
     void finish(EngineSequence &sequence);
-    void cut(EngineSequence &sequence, RunState state);
-    void crashSoon();
+    void abort(EngineSequence &sequence, RunState state);
+    void scheduleCrash();
     void removeEnded();
 
     EventLoop::Loop &m_loop;
@@ -56,7 +56,7 @@
     PrefixCache &m_cache;
     RunList &m_runs;
     Faults &m_faults;
-    std::uint32_t m_prefillBudget; ///< Tokens prefilled in one step.
+    std::uint32_t m_prefillBudget; ///< Maximum number of tokens prefilled in one step.
     Sequences m_waiting;
     Sequences m_running;
     std::vector<EngineSequence *> m_ended;
--- a/src/libs/standin/engineoptions.h
+++ b/src/libs/standin/engineoptions.h
@@ -10,7 +10,7 @@
 
 namespace Verbena::Standin {
 
-/// \brief A model, adapter and version of weights that an engine has loaded.
+/// \brief Model, adapter and weights version that an engine has loaded.
 struct LoadedModel
 {
     std::string model;
@@ -20,22 +20,22 @@
     bool operator==(const LoadedModel &) const = default;
 };
 
-/// \brief How the engine stand-in behaves.
+/// \brief Options of the engine stand-in.
 struct EngineOptions
 {
-    std::uint16_t port = 0; ///< 0 lets the system choose.
-    std::size_t batchSize = 32; ///< Requests that run at a time.
+    std::uint16_t port = 0; ///< Port to listen on; 0 lets the system choose.
+    std::size_t batchSize = 32; ///< Maximum number of requests that run concurrently.
     std::uint32_t prefillTokensPerSecond = 40'000;
-    std::chrono::microseconds decodeInterval{5000}; ///< Between two tokens of one answer; 0 for as fast as possible.
+    std::chrono::microseconds decodeInterval{5000}; ///< Time between two tokens of one answer; 0 for as fast as possible.
     std::size_t cachePieces = 512;
     PieceSize pieceSize;
-    std::chrono::milliseconds loadLag{100}; ///< How old `GET /load` may be.
-    std::chrono::milliseconds eventDelay{50}; ///< How late `GET /cache_events` tells of an event.
-    double eventLoss = 0; ///< Fraction of events that are never told.
-    std::chrono::milliseconds loadTime{500}; ///< Loading new weights takes this long.
+    std::chrono::milliseconds loadReportLag{100}; ///< Maximum age of the report that `GET /load` returns.
+    std::chrono::milliseconds eventDelay{50}; ///< Time after which `GET /cache_events` returns an event.
+    double eventLossRate = 0; ///< Fraction of events that are never returned (0 to 1).
+    std::chrono::milliseconds weightsLoadTime{500}; ///< Time that loading new weights takes.
     std::chrono::microseconds importTimePerPiece{1000};
-    bool isCheckingFencing = true; ///< Refuses orders with a lower fencing number than seen before.
-    std::vector<LoadedModel> models; ///< Loaded at the start; when none is given, every model is served.
+    bool isCheckingFencing = true; ///< Whether orders with a lower fencing number than an earlier order are refused.
+    std::vector<LoadedModel> models; ///< Models loaded at the start; if empty, every model is served.
     std::uint64_t seed = 1;
     Faults faults;
 };
--- a/src/libs/standin/enginesequence.cpp
+++ b/src/libs/standin/enginesequence.cpp
@@ -6,7 +6,7 @@
 
 namespace {
 
-// Tokens consist of lower-case letters and spaces, so that nothing in them has to be escaped for JSON.
+// Tokens consist of lower-case letters and spaces only, so no character has to be escaped for JSON.
 std::string choice(const std::string &text, const char *finishReason)
 {
     return R"("choices":[{"index":0,"text":")" + text + R"(","finish_reason":)" + finishReason + "}]";
@@ -39,9 +39,9 @@
     return m_requestId;
 }
 
-std::uint32_t EngineSequence::prefillLeft() const
+std::uint32_t EngineSequence::remainingPrefill() const
 {
-    return m_prefillLeft;
+    return m_remainingPrefill;
 }
 
 std::uint32_t EngineSequence::generatedTokens() const
@@ -49,7 +49,7 @@
     return m_generatedTokens;
 }
 
-bool EngineSequence::isWhole() const
+bool EngineSequence::isComplete() const
 {
     return m_request.resumeTokens + m_generatedTokens >= m_request.maximumTokens;
 }
@@ -58,16 +58,16 @@
 {
     const auto cached = static_cast<std::uint32_t>(cachedPieces * pieceSize.tokens);
     m_cachedTokens = std::min(cached, m_request.promptTokens);
-    // The last token is always computed anew, as engines need its output.
-    m_prefillLeft = std::max(1U, m_request.prefillTokens - std::min(cached, m_request.prefillTokens));
+    // The last token is always computed, even if it is cached, as engines need its output.
+    m_remainingPrefill = std::max(1U, m_request.prefillTokens - std::min(cached, m_request.prefillTokens));
 }
 
 void EngineSequence::prefill(std::uint32_t tokens)
 {
-    m_prefillLeft -= std::min(tokens, m_prefillLeft);
+    m_remainingPrefill -= std::min(tokens, m_remainingPrefill);
 }
 
-void EngineSequence::generate()
+void EngineSequence::generateToken()
 {
     const std::string token = m_answer.token(m_request.resumeTokens + m_generatedTokens);
     ++m_generatedTokens;
@@ -91,7 +91,7 @@
     m_exchange->endStream();
 }
 
-void EngineSequence::cut()
+void EngineSequence::abort()
 {
     m_exchange->abortStream();
 }
--- a/src/libs/standin/enginesequence.h
+++ b/src/libs/standin/enginesequence.h
@@ -11,7 +11,7 @@
 
 namespace Verbena::Standin {
 
-/// \brief One completion in the engine: how far it is, and the answer it writes.
+/// \brief Progress of one completion in the engine. Writes the answer to the caller.
 class EngineSequence
 {
 public:
@@ -21,27 +21,27 @@
     RunId run() const;
     const std::string &requestId() const;
 
-    /// \brief Tokens still to be prefilled.
-    std::uint32_t prefillLeft() const;
+    /// \brief Returns the number of tokens that are still to be prefilled.
+    std::uint32_t remainingPrefill() const;
 
-    /// \brief Tokens generated in this run.
+    /// \brief Returns the number of tokens generated in this run.
     std::uint32_t generatedTokens() const;
 
-    bool isWhole() const;
+    bool isComplete() const;
 
-    /// \brief Begins the prefill, of which \a cachedPieces pieces can be left out.
+    /// \brief Starts the prefill and skips the first \a cachedPieces pieces.
     void beginPrefill(std::size_t cachedPieces, const PieceSize &pieceSize);
 
     void prefill(std::uint32_t tokens);
 
     /// \brief Generates the next token.
-    void generate();
+    void generateToken();
 
-    /// \brief Ends the answer in good order.
+    /// \brief Completes the answer.
     void finish();
 
-    /// \brief Cuts the connection.
-    void cut();
+    /// \brief Aborts the connection without completing the answer.
+    void abort();
 
 private:
     std::string usage() const;
@@ -52,9 +52,9 @@
     std::string m_requestId;
     AnswerText m_answer;
     std::vector<Http::HttpField> m_fields;
-    std::string m_text; ///< Of an answer that is not streamed.
+    std::string m_text; ///< Text generated so far, if the answer isn't streamed.
     std::uint32_t m_cachedTokens = 0;
-    std::uint32_t m_prefillLeft = 0;
+    std::uint32_t m_remainingPrefill = 0;
     std::uint32_t m_generatedTokens = 0;
 };
 
--- a/src/libs/standin/enginestandin.cpp
+++ b/src/libs/standin/enginestandin.cpp
@@ -63,8 +63,8 @@
     BOOST_OUTCOME_TRY(opened, FaultyServer::create(loop, options.port, options.faults, *engine));
     engine->m_server = std::move(opened);
     engine->m_batch = std::make_unique<EngineBatch>(loop, engine->m_options, engine->m_cache, engine->m_runs, engine->m_server->faults());
-    engine->m_server->setChangedCallback([self] { self->m_batch->wake(); });
-    engine->refreshLoad();
+    engine->m_server->setChangedCallback([self] { self->m_batch->resume(); });
+    engine->refreshLoadReport();
     return engine;
 }
 
@@ -74,7 +74,7 @@
     , m_incarnation(newIncarnation())
     , m_cache(options.cachePieces)
     , m_models(m_options)
-    , m_loadTimer(loop, [this] { refreshLoad(); })
+    , m_loadReportTimer(loop, [this] { refreshLoadReport(); })
     , m_importTimer(loop, [this] { finishImports(); })
 {
 }
@@ -91,31 +91,31 @@
 
 void EngineStandin::handleRequest(const std::shared_ptr<Http::HttpExchange> &exchange)
 {
-    m_models.advance(m_loop.now());
+    m_models.completeLoads(m_loop.now());
     const std::string &path = exchange->path();
     if (path == "/v1/completions") {
-        complete(exchange);
+        startCompletion(exchange);
     } else if (path == "/load") {
         respond(*exchange, 200, m_loadReport);
     } else if (path == "/cache_events") {
-        answerEvents(*exchange);
+        handleCacheEvents(*exchange);
     } else if (path == "/runs") {
         respond(*exchange, 200, m_runs.toJson(m_incarnation));
     } else if (path == "/cancel") {
-        answerCancel(*exchange);
+        handleCancel(*exchange);
     } else if (path == "/kv/export") {
-        answerExport(*exchange);
+        handleExport(*exchange);
     } else if (path == "/kv/import") {
-        answerImport(exchange);
+        handleImport(exchange);
     } else if (path == "/orders") {
-        OrderAnswer answer = m_models.take(exchange->body(), m_loop.now());
-        respond(*exchange, answer.status, std::move(answer.body));
+        OrderResponse response = m_models.handleOrder(exchange->body(), m_loop.now());
+        respond(*exchange, response.status, std::move(response.body));
     } else {
-        respond(*exchange, 404, R"({"error":{"message":"There is no such path."}})");
+        respond(*exchange, 404, R"({"error":{"message":"The path does not exist."}})");
     }
 }
 
-void EngineStandin::complete(const std::shared_ptr<Http::HttpExchange> &exchange)
+void EngineStandin::startCompletion(const std::shared_ptr<Http::HttpExchange> &exchange)
 {
     Core::Result<CompletionRequest> request = CompletionRequest::fromJson(exchange->body(), m_options.pieceSize);
     if (!request) {
@@ -123,7 +123,7 @@
         return;
     }
     if (!m_models.isServed(request.value().model)) {
-        respond(*exchange, 404, R"({"error":{"message":"This model is not loaded."}})");
+        respond(*exchange, 404, R"({"error":{"message":"The model is not loaded."}})");
         return;
     }
     if (m_server->faults().crash == CrashPoint::BeforeAdmission) {
@@ -135,7 +135,7 @@
     m_batch->add(std::make_unique<EngineSequence>(std::move(request.value()), run, exchange, m_incarnation));
 }
 
-void EngineStandin::answerCancel(Http::HttpExchange &exchange)
+void EngineStandin::handleCancel(Http::HttpExchange &exchange)
 {
     const json root = json::parse(exchange.body(), nullptr, false);
     const bool isRequest = root.is_object() && root.contains("request") && root["request"].is_string();
@@ -143,7 +143,7 @@
     respond(exchange, 200, json{{"cancelled", isCancelled}}.dump());
 }
 
-void EngineStandin::answerExport(Http::HttpExchange &exchange) const
+void EngineStandin::handleExport(Http::HttpExchange &exchange) const
 {
     std::vector<PieceHash> found;
     for (const PieceHash piece : piecesOf(exchange.body())) {
@@ -154,13 +154,13 @@
     respond(exchange, 200, json{{"incarnation", m_incarnation}, {"pieces", found}}.dump());
 }
 
-void EngineStandin::answerImport(const std::shared_ptr<Http::HttpExchange> &exchange)
+void EngineStandin::handleImport(const std::shared_ptr<Http::HttpExchange> &exchange)
 {
     const json root = json::parse(exchange->body(), nullptr, false);
     const bool hasRoot = root.is_object() && root.contains("root") && root["root"].is_number_unsigned();
     const PieceHash rootHash = hasRoot ? PieceHash(root["root"].get<std::uint64_t>()) : PieceHash{};
     std::vector<PieceHash> pieces = piecesOf(exchange->body());
-    // Imports share one link, so each waits for the one before.
+    // Imports share one network link, so each import starts when the one before it has finished.
     const Core::TimePoint begin = m_imports.empty() ? m_loop.now() : m_imports.back().readyAt;
     const Core::TimePoint readyAt = begin + m_options.importTimePerPiece * pieces.size();
     m_imports.push_back({exchange, rootHash, std::move(pieces), readyAt});
@@ -180,32 +180,32 @@
     }
 }
 
-bool EngineStandin::isLost(const CacheEvent &event) const
+bool EngineStandin::isEventLost(const CacheEvent &event) const
 {
     const std::uint64_t hash = XXH3_64bits_withSeed(&event.sequence, sizeof event.sequence, m_options.seed);
-    return static_cast<double>(hash) < m_options.eventLoss * static_cast<double>(UINT64_MAX);
+    return static_cast<double>(hash) < m_options.eventLossRate * static_cast<double>(UINT64_MAX);
 }
 
-void EngineStandin::answerEvents(Http::HttpExchange &exchange) const
+void EngineStandin::handleCacheEvents(Http::HttpExchange &exchange) const
 {
     const std::string text = exchange.queryArgument("since").value_or("");
     std::uint64_t next = 1;
     std::from_chars(text.data(), text.data() + text.size(), next);
     const Core::TimePoint newest = m_loop.now() - m_options.eventDelay;
     json events = json::array();
-    const auto &known = m_cache.events();
-    const std::uint64_t first = known.empty() ? 1 : known.front().sequence;
+    const auto &recorded = m_cache.events();
+    const std::uint64_t first = recorded.empty() ? 1 : recorded.front().sequence;
     next = std::max(next, first);
-    for (std::size_t i = next - first; i < known.size() && known[i].moment <= newest; ++i) {
-        next = known[i].sequence + 1;
-        if (!isLost(known[i])) {
-            events.push_back(jsonOf(known[i]));
+    for (std::size_t i = next - first; i < recorded.size() && recorded[i].recordedAt <= newest; ++i) {
+        next = recorded[i].sequence + 1;
+        if (!isEventLost(recorded[i])) {
+            events.push_back(jsonOf(recorded[i]));
         }
     }
     respond(exchange, 200, json{{"incarnation", m_incarnation}, {"next", next}, {"events", std::move(events)}}.dump());
 }
 
-std::string EngineStandin::loadJson() const
+std::string EngineStandin::loadReportJson() const
 {
     json report{{"incarnation", m_incarnation},
         {"running", m_batch->runningCount()},
@@ -213,18 +213,18 @@
         {"cached_pieces", m_cache.size()},
         {"role", m_models.role()},
         {"loading", jsonOf(m_models.loading())}};
-    // An engine that serves every model does not tell what it holds.
+    // An engine that serves every model has no list of loaded models to report.
     if (!m_models.isServingAll()) {
         report["models"] = jsonOf(m_models.loaded());
     }
     return report.dump();
 }
 
-void EngineStandin::refreshLoad()
+void EngineStandin::refreshLoadReport()
 {
-    m_models.advance(m_loop.now());
-    m_loadReport = loadJson();
-    m_loadTimer.startAt(m_loop.now() + std::max(m_options.loadLag, std::chrono::milliseconds(1)));
+    m_models.completeLoads(m_loop.now());
+    m_loadReport = loadReportJson();
+    m_loadReportTimer.startAt(m_loop.now() + std::max(m_options.loadReportLag, std::chrono::milliseconds(1)));
 }
 
 } // namespace Verbena::Standin
--- a/src/libs/standin/faults.cpp
+++ b/src/libs/standin/faults.cpp
@@ -32,17 +32,17 @@
 
 Core::Result<CrashPoint> crashPointOf(const std::string &name)
 {
-    for (const NamedCrashPoint &known : crashPoints) {
-        if (name == known.name) {
-            return known.point;
+    for (const NamedCrashPoint &entry : crashPoints) {
+        if (name == entry.name) {
+            return entry.point;
         }
     }
-    return invalid("There is no crash point '" + name + "'.");
+    return invalid("The crash point '" + name + "' does not exist.");
 }
 
 } // namespace
 
-Core::Result<Faults> Faults::changedBy(const std::string &body) const
+Core::Result<Faults> Faults::withChanges(const std::string &body) const
 {
     const json root = json::parse(body, nullptr, false);
     if (!root.is_object()) {
@@ -62,17 +62,17 @@
             changed.cutAfterTokens = count < 0 ? std::nullopt : std::optional(static_cast<std::uint32_t>(count));
         }
         changed.isLosingAnswers = root.value("lose_answer", isLosingAnswers);
-        changed.times = root.value("times", times);
+        changed.remainingOccurrences = root.value("times", remainingOccurrences);
         changed.refuseConnections = std::chrono::milliseconds(root.value("refuse_connections_ms", std::int64_t{0}));
-    } catch (const json::exception &problem) {
-        return invalid(problem.what());
+    } catch (const json::exception &exception) {
+        return invalid(exception.what());
     }
     return changed;
 }
 
-void Faults::consumeOne()
+void Faults::recordOccurrence()
 {
-    if (times == 0 || --times > 0) {
+    if (remainingOccurrences == 0 || --remainingOccurrences > 0) {
         return;
     }
     cutAfterTokens.reset();
--- a/src/libs/standin/faultyserver.cpp
+++ b/src/libs/standin/faultyserver.cpp
@@ -27,7 +27,7 @@
     , m_handler(handler)
     , m_acceptTimer(loop, [this] {
         if (!listen(m_port)) {
-            std::cerr << "The port " << m_port << " cannot be opened again.\n";
+            std::cerr << "Port " << m_port << " cannot be reopened.\n";
             std::_Exit(EXIT_FAILURE);
         }
     })
@@ -78,7 +78,7 @@
 
 void FaultyServer::changeFaults(Http::HttpExchange &exchange)
 {
-    const Core::Result<Faults> changed = m_faults.changedBy(exchange.body());
+    const Core::Result<Faults> changed = m_faults.withChanges(exchange.body());
     if (!changed) {
         exchange.respond(400, {}, changed.error().toString() + "\n");
         return;
--- a/src/libs/standin/faultyserver.h
+++ b/src/libs/standin/faultyserver.h
@@ -14,17 +14,17 @@
 
 namespace Verbena::Standin {
 
-/// \brief The HTTP server of a stand-in: answers `POST /control` and does wrong what it was told to, before the stand-in sees a request.
+/// \brief HTTP server of a stand-in. Answers `POST /control` and applies the faults set by it before a request reaches the stand-in.
 class FaultyServer : public Http::HttpHandler
 {
 public:
-    /// \brief Listens on \a port of the loopback address. Errors: Unavailable.
+    /// \brief Creates a server on \a port of the loopback address that passes requests to \a handler. Errors: Unavailable.
     static Core::Result<std::unique_ptr<FaultyServer>> create(EventLoop::Loop &loop, std::uint16_t port, const Faults &faults, Http::HttpHandler &handler);
 
     std::uint16_t port() const;
     Faults &faults();
 
-    /// \brief Called after each change of the faults.
+    /// \brief Sets the function that is called after each change of the faults.
     void setChangedCallback(std::function<void()> callback);
 
     void handleRequest(const std::shared_ptr<Http::HttpExchange> &exchange) override;
@@ -41,7 +41,7 @@
     Http::HttpHandler &m_handler;
     std::function<void()> m_changedCallback;
     std::uint16_t m_port = 0;
-    std::vector<std::unique_ptr<Http::HttpServer>> m_servers; ///< The last one listens; the others end their connections.
+    std::vector<std::unique_ptr<Http::HttpServer>> m_servers; ///< The last server listens; the earlier servers only serve their open connections.
     EventLoop::Timer m_acceptTimer;
 };
 
--- a/src/libs/standin/incarnation.h
+++ b/src/libs/standin/incarnation.h
@@ -4,7 +4,8 @@
 
 namespace Verbena::Standin {
 
-/// \brief A number that names one start of a stand-in and grows with each; JSON readers can hold it exactly.
+/// \brief Returns a number for this start of a stand-in. It increases with each start and is small enough to be exact in JSON readers (microseconds since the
+/// epoch).
 std::uint64_t newIncarnation();
 
 } // namespace Verbena::Standin
--- a/src/libs/standin/memoryplatform.cpp
+++ b/src/libs/standin/memoryplatform.cpp
@@ -6,12 +6,12 @@
 
 constexpr const char *peerName = "memory";
 
-Core::Error lostAnswer(const char *step)
+Core::Error missingAnswerError(const char *step)
 {
-    return {Core::ErrorCode::Unknown, step, peerName, "No answer came before the deadline."};
+    return {Core::ErrorCode::Unknown, step, peerName, "No answer arrived before the deadline."};
 }
 
-Core::Error refusal(const char *step, Admission admission)
+Core::Error refusalError(const char *step, Admission admission)
 {
     if (admission == Admission::OverBudget) {
         return {Core::ErrorCode::ResourceExhausted, step, peerName, "The platform's budget is used up."};
@@ -24,7 +24,7 @@
     return admission == Admission::OverBudget || admission == Admission::Refused;
 }
 
-Store::CommitAnswer unwritten(Store::CommitOutcome outcome, const char *detail)
+Store::CommitAnswer notCommitted(Store::CommitOutcome outcome, const char *detail)
 {
     return {outcome, 0, {}, detail};
 }
@@ -52,28 +52,28 @@
     return m_steps.empty() ? std::nullopt : std::optional(m_steps.begin()->first);
 }
 
-void MemoryPlatform::advanceTo(Core::TimePoint moment)
+void MemoryPlatform::advanceTo(Core::TimePoint time)
 {
-    while (!m_steps.empty() && m_steps.begin()->first <= moment) {
+    while (!m_steps.empty() && m_steps.begin()->first <= time) {
         const auto node = m_steps.extract(m_steps.begin());
         m_now = std::max(m_now, node.key());
         node.mapped()();
     }
-    m_now = std::max(m_now, moment);
+    m_now = std::max(m_now, time);
 }
 
-void MemoryPlatform::schedule(Core::TimePoint moment, Step step)
+void MemoryPlatform::schedule(Core::TimePoint time, Step step)
 {
-    m_steps.emplace(std::max(moment, m_now), std::move(step));
+    m_steps.emplace(std::max(time, m_now), std::move(step));
 }
 
-void MemoryPlatform::answer(Core::TimePoint deadline, Step onTime, Step late)
+void MemoryPlatform::answer(Core::TimePoint deadline, Step onAnswer, Step onTimeout)
 {
-    const Core::TimePoint moment = m_now + m_latency / 2 + m_state.faults().slowness;
-    if (moment <= deadline) {
-        schedule(moment, std::move(onTime));
+    const Core::TimePoint time = m_now + m_latency / 2 + m_state.faults().answerDelay;
+    if (time <= deadline) {
+        schedule(time, std::move(onAnswer));
     } else {
-        schedule(deadline, std::move(late));
+        schedule(deadline, std::move(onTimeout));
     }
 }
 
@@ -82,17 +82,17 @@
 {
     schedule(m_now + m_latency / 2, [this, step, deadline, done, readValue] {
         const Admission admission = m_state.admitRead(m_now);
-        const auto late = [done, step] {
-            done(lostAnswer(step));
+        const auto onTimeout = [done, step] {
+            done(missingAnswerError(step));
         };
         if (isRefusal(admission)) {
             answer(
-                deadline, [done, step, admission] { done(refusal(step, admission)); }, late);
+                deadline, [done, step, admission] { done(refusalError(step, admission)); }, onTimeout);
         } else if (admission == Admission::Serve) {
             answer(
-                deadline, [done, value = readValue()] { done(value); }, late);
+                deadline, [done, value = readValue()] { done(value); }, onTimeout);
         } else {
-            schedule(deadline, late);
+            schedule(deadline, onTimeout);
         }
     });
 }
@@ -111,27 +111,27 @@
 {
     using Store::CommitOutcome;
     if (deadline <= m_now) {
-        schedule(m_now, [done] { done(unwritten(CommitOutcome::NotSent, "The deadline passed before anything was sent.")); });
+        schedule(m_now, [done] { done(notCommitted(CommitOutcome::NotSent, "The deadline passed before the operation was sent.")); });
         return;
     }
     schedule(m_now + m_latency / 2, [this, writes, deadline, done] {
         const Admission admission = m_state.admitWrite(m_now);
-        const Step late = [done] {
-            done(unwritten(CommitOutcome::Unknown, "No answer came before the deadline."));
+        const Step onTimeout = [done] {
+            done(notCommitted(CommitOutcome::Unknown, "No answer arrived before the deadline."));
         };
         if (isRefusal(admission)) {
             answer(
-                deadline, [done] { done(unwritten(CommitOutcome::NotSent, "The platform refused before doing anything.")); }, late);
+                deadline, [done] { done(notCommitted(CommitOutcome::NotSent, "The platform refused the operation before any effect.")); }, onTimeout);
         } else if (admission == Admission::Serve) {
             answer(
-                deadline, [done, result = m_state.commit(writes)] { done(result); }, late);
+                deadline, [done, result = m_state.commit(writes)] { done(result); }, onTimeout);
         } else {
             if (admission == Admission::ServeWithoutAnswer) {
                 m_state.commit(writes);
             } else if (admission == Admission::ServeLateWithoutAnswer) {
                 schedule(m_now + m_state.faults().writeDelay, [this, writes] { m_state.commit(writes); });
             }
-            schedule(deadline, late);
+            schedule(deadline, onTimeout);
         }
     });
 }
@@ -141,7 +141,7 @@
     read("objects.get", deadline, std::move(done), [this, name] {
         const auto content = m_state.object(name);
         return content ? Core::Result<std::string>(*content)
-                       : Core::Result<std::string>(Core::Error{Core::ErrorCode::NotFound, "objects.get", peerName, "There is no such object."});
+                       : Core::Result<std::string>(Core::Error{Core::ErrorCode::NotFound, "objects.get", peerName, "The object does not exist."});
     });
 }
 
@@ -149,12 +149,12 @@
 {
     schedule(m_now + m_latency / 2, [this, name, content, deadline, done] {
         const Admission admission = m_state.admitWrite(m_now);
-        const Step late = [done] {
-            done(lostAnswer("objects.put"));
+        const Step onTimeout = [done] {
+            done(missingAnswerError("objects.put"));
         };
         if (isRefusal(admission)) {
             answer(
-                deadline, [done, admission] { done(refusal("objects.put", admission)); }, late);
+                deadline, [done, admission] { done(refusalError("objects.put", admission)); }, onTimeout);
             return;
         }
         if (admission != Admission::DropWithoutAnswer) {
@@ -162,9 +162,9 @@
         }
         if (admission == Admission::Serve) {
             answer(
-                deadline, [done] { done(Core::success()); }, late);
+                deadline, [done] { done(Core::success()); }, onTimeout);
         } else {
-            schedule(deadline, late);
+            schedule(deadline, onTimeout);
         }
     });
 }
--- a/src/libs/standin/memoryplatform.h
+++ b/src/libs/standin/memoryplatform.h
@@ -9,24 +9,24 @@
 
 namespace Verbena::Standin {
 
-/// \brief The platform in memory and in virtual time, with the same faults as the stand-in process.
+/// \brief Simulated platform in memory and in virtual time, with the same faults as the stand-in process.
 ///
-/// Nothing happens until advanceTo(): an operation reaches the platform after half its latency and is answered after all of it,
-/// or at its deadline as lost.
+/// Operations are processed in advanceTo() only. An operation reaches the platform after half its latency and is answered after the full latency.
+/// If the answer would come after the deadline, the operation is reported as unanswered at the deadline.
 class MemoryPlatform : public Store::TableService, public Store::ObjectStore, public Store::HostList
 {
 public:
-    /// \brief Makes a platform whose operations take \a latency.
+    /// \brief Creates a platform at time \a now whose operations take \a latency.
     MemoryPlatform(Core::TimePoint now, std::chrono::microseconds latency);
 
     PlatformState &state();
     Core::TimePoint now() const;
 
-    /// \brief When the next thing happens, if anything is under way.
+    /// \brief Returns the time of the next step of a pending operation, if there is one.
     std::optional<Core::TimePoint> nextEvent() const;
 
-    /// \brief Lets everything happen that is due up to \a moment, in order.
-    void advanceTo(Core::TimePoint moment);
+    /// \brief Processes all steps that are due up to \a time, in order.
+    void advanceTo(Core::TimePoint time);
 
     void get(const std::vector<std::string> &keys, Core::TimePoint deadline, RowsCallback done) override;
     void scan(const std::string &prefix, std::uint64_t sinceRevision, std::size_t limit, Core::TimePoint deadline, RowsCallback done) override;
@@ -38,8 +38,8 @@
 private:
     using Step = std::function<void()>;
 
-    void schedule(Core::TimePoint moment, Step step);
-    void answer(Core::TimePoint deadline, Step onTime, Step late);
+    void schedule(Core::TimePoint time, Step step);
+    void answer(Core::TimePoint deadline, Step onAnswer, Step onTimeout);
     template<typename Done, typename Read>
     void read(const char *step, Core::TimePoint deadline, Done done, Read readValue);
 
--- a/src/libs/standin/modelset.cpp
+++ b/src/libs/standin/modelset.cpp
@@ -29,7 +29,7 @@
 {
 }
 
-OrderAnswer ModelSet::take(const std::string &body, Core::TimePoint now)
+OrderResponse ModelSet::handleOrder(const std::string &body, Core::TimePoint now)
 {
     const json root = json::parse(body, nullptr, false);
     if (!root.is_object()) {
@@ -53,46 +53,46 @@
             m_role = root.at("role").get<std::string>();
             return {200, R"({"state":"in force"})"};
         }
-        return {400, R"({"error":"There is no such order."})"};
-    } catch (const json::exception &problem) {
-        return {400, json{{"error", problem.what()}}.dump()};
+        return {400, R"({"error":"The order does not exist."})"};
+    } catch (const json::exception &exception) {
+        return {400, json{{"error", exception.what()}}.dump()};
     }
 }
 
-OrderAnswer ModelSet::load(const LoadedModel &model, Core::TimePoint now)
+OrderResponse ModelSet::load(const LoadedModel &model, Core::TimePoint now)
 {
     if (std::ranges::find(m_loaded, model) != m_loaded.end()) {
         return {200, R"({"state":"loaded"})"};
     }
     if (std::ranges::find(m_loading, model, &Loading::model) == m_loading.end()) {
-        m_loading.push_back({model, now + m_options.loadTime});
+        m_loading.push_back({model, now + m_options.weightsLoadTime});
     }
     return {202, R"({"state":"loading"})"};
 }
 
-OrderAnswer ModelSet::unload(const LoadedModel &model)
+OrderResponse ModelSet::unload(const LoadedModel &model)
 {
-    const auto isMeant = [&model](const LoadedModel &other) {
+    const auto matches = [&model](const LoadedModel &other) {
         return isSameModel(model, other) && (model.version.empty() || model.version == other.version);
     };
-    std::erase_if(m_loaded, isMeant);
-    std::erase_if(m_loading, [&isMeant](const Loading &other) { return isMeant(other.model); });
+    std::erase_if(m_loaded, matches);
+    std::erase_if(m_loading, [&matches](const Loading &other) { return matches(other.model); });
     m_isServingAll = false;
     return {200, R"({"state":"unloaded"})"};
 }
 
-void ModelSet::advance(Core::TimePoint now)
+void ModelSet::completeLoads(Core::TimePoint now)
 {
     for (const Loading &loading : m_loading) {
         if (loading.readyAt <= now) {
-            removeOthers(loading.model);
+            removeOtherVersions(loading.model);
             m_loaded.push_back(loading.model);
         }
     }
     std::erase_if(m_loading, [now](const Loading &loading) { return loading.readyAt <= now; });
 }
 
-void ModelSet::removeOthers(const LoadedModel &model)
+void ModelSet::removeOtherVersions(const LoadedModel &model)
 {
     std::erase_if(m_loaded, [&model](const LoadedModel &other) { return isSameModel(model, other); });
 }
--- a/src/libs/standin/modelset.h
+++ b/src/libs/standin/modelset.h
@@ -10,34 +10,35 @@
 
 namespace Verbena::Standin {
 
-/// \brief What became of an order.
-struct OrderAnswer
+/// \brief Result of an order, as an HTTP answer.
+struct OrderResponse
 {
-    int status = 200; ///< 200 in force already, 202 begun, 400 not understood, 409 refused for its fencing number.
+    int status = 200; ///< 200 in effect, 202 started, 400 invalid, 409 refused because of its fencing number.
     std::string body;
 };
 
-/// \brief The models an engine has loaded, and the orders that change them.
+/// \brief Models that an engine has loaded. Executes the orders that change them.
 ///
-/// The body of `POST /orders`: `order` ("load", "unload" or "role"), `fencing` (number), `model`, `adapter`, `version`, or `role`. A loaded version
-/// takes the place of another version of the same model and adapter as soon as it is loaded. Repeating an order changes nothing.
+/// The body of `POST /orders`: `order` ("load", "unload" or "role"), `fencing` (number), `model`, `adapter`, `version`, or `role`. A version
+/// replaces other versions of the same model and adapter as soon as it is loaded. Orders are idempotent.
 class ModelSet
 {
 public:
     explicit ModelSet(const EngineOptions &options);
 
-    OrderAnswer take(const std::string &body, Core::TimePoint now);
+    /// \brief Executes the order in the JSON object \a body.
+    OrderResponse handleOrder(const std::string &body, Core::TimePoint now);
 
-    /// \brief Puts in force what has been loaded by \a now.
-    void advance(Core::TimePoint now);
+    /// \brief Starts to serve the versions whose loading has finished by \a now.
+    void completeLoads(Core::TimePoint now);
 
-    /// \brief True if requests for \a model ("model" or "model:adapter") are served.
+    /// \brief Returns whether requests for \a model ("model" or "model:adapter") are served.
     bool isServed(const std::string &model) const;
 
-    /// \brief True if no models were given and none unloaded, so that every model is served.
+    /// \brief Returns whether every model is served: no models were configured and none has been unloaded.
     bool isServingAll() const;
 
-    /// \brief The version in use of \a model; empty if that is not known.
+    /// \brief Returns the version in use of \a model; empty if unknown.
     std::string versionOf(const std::string &model) const;
 
     const std::vector<LoadedModel> &loaded() const;
@@ -51,9 +52,9 @@
         Core::TimePoint readyAt;
     };
 
-    OrderAnswer load(const LoadedModel &model, Core::TimePoint now);
-    OrderAnswer unload(const LoadedModel &model);
-    void removeOthers(const LoadedModel &model);
+    OrderResponse load(const LoadedModel &model, Core::TimePoint now);
+    OrderResponse unload(const LoadedModel &model);
+    void removeOtherVersions(const LoadedModel &model);
 
     const EngineOptions &m_options;
     bool m_isServingAll;
--- a/src/libs/standin/platformstandin.cpp
+++ b/src/libs/standin/platformstandin.cpp
@@ -30,9 +30,9 @@
     return name == "refusing" ? Outage::Refusing : name == "silent" ? Outage::Silent : Outage::None;
 }
 
-void readMilliseconds(const json &request, const char *name, std::chrono::milliseconds &span)
+void readMilliseconds(const json &request, const char *name, std::chrono::milliseconds &duration)
 {
-    span = std::chrono::milliseconds(request.value(name, span.count()));
+    duration = std::chrono::milliseconds(request.value(name, duration.count()));
 }
 
 PlatformFaults changedFaults(PlatformFaults faults, const json &request)
@@ -43,7 +43,7 @@
     faults.lostRequests = request.value("lost_requests", faults.lostRequests);
     faults.delayedWrites = request.value("delayed_writes", faults.delayedWrites);
     readMilliseconds(request, "write_delay_ms", faults.writeDelay);
-    readMilliseconds(request, "slowness_ms", faults.slowness);
+    readMilliseconds(request, "slowness_ms", faults.answerDelay);
     readMilliseconds(request, "host_list_lag_ms", faults.hostListLag);
     if (request.contains("outage")) {
         faults.outage = outageFrom(request.at("outage").get<std::string>());
@@ -78,7 +78,7 @@
 void PlatformStandin::handleRequest(const std::shared_ptr<Http::HttpExchange> &exchange)
 {
     if (exchange->path() == "/control") {
-        const Reply reply = control(*exchange);
+        const Reply reply = handleControl(*exchange);
         exchange->respond(reply.status, {{"Content-Type", "application/json"}}, reply.body);
         return;
     }
@@ -86,7 +86,7 @@
     const Admission admission = isWrite(*exchange) ? m_state.admitWrite(now) : m_state.admitRead(now);
     switch (admission) {
     case Admission::Serve:
-        answer(exchange, isWrite(*exchange) ? write(*exchange) : read(*exchange));
+        sendReply(exchange, isWrite(*exchange) ? write(*exchange) : read(*exchange));
         return;
     case Admission::ServeWithoutAnswer:
         write(*exchange);
@@ -100,15 +100,15 @@
         m_unanswered.push_back(exchange);
         return;
     case Admission::OverBudget:
-        answer(exchange, {statusTooManyRequests, "{}"});
+        sendReply(exchange, {statusTooManyRequests, "{}"});
         return;
     case Admission::Refused:
-        answer(exchange, {statusUnavailable, "{}"});
+        sendReply(exchange, {statusUnavailable, "{}"});
         return;
     }
 }
 
-PlatformStandin::Reply PlatformStandin::control(const Http::HttpExchange &exchange)
+PlatformStandin::Reply PlatformStandin::handleControl(const Http::HttpExchange &exchange)
 {
     const PlatformCounts &counts = m_state.counts();
     if (exchange.method() == "GET") {
@@ -169,23 +169,23 @@
     return {statusOk, Store::encodeRevision(result.revision)};
 }
 
-void PlatformStandin::answer(const std::shared_ptr<Http::HttpExchange> &exchange, Reply reply)
+void PlatformStandin::sendReply(const std::shared_ptr<Http::HttpExchange> &exchange, Reply reply)
 {
     const auto send = [exchange, reply = std::move(reply)] {
         exchange->respond(reply.status, {{"Content-Type", "application/json"}}, reply.body);
     };
-    if (m_state.faults().slowness.count() == 0) {
+    if (m_state.faults().answerDelay.count() == 0) {
         send();
         return;
     }
-    callAfter(m_state.faults().slowness, send);
+    callAfter(m_state.faults().answerDelay, send);
 }
 
-void PlatformStandin::callAfter(std::chrono::milliseconds span, const std::function<void()> &callback)
+void PlatformStandin::callAfter(std::chrono::milliseconds duration, const std::function<void()> &callback)
 {
-    std::erase_if(m_delayed, [](const auto &delayed) { return !delayed->isActive(); });
-    m_delayed.push_back(std::make_unique<EventLoop::Timer>(m_loop, callback));
-    m_delayed.back()->startAt(m_loop.now() + span);
+    std::erase_if(m_delayTimers, [](const auto &delayed) { return !delayed->isActive(); });
+    m_delayTimers.push_back(std::make_unique<EventLoop::Timer>(m_loop, callback));
+    m_delayTimers.back()->startAt(m_loop.now() + duration);
 }
 
 } // namespace Verbena::Standin
--- a/src/libs/standin/platformstandin.h
+++ b/src/libs/standin/platformstandin.h
@@ -9,9 +9,9 @@
 
 namespace Verbena::Standin {
 
-/// \brief Stands in for the platform over HTTP: table service, object store and host list.
+/// \brief Simulated platform with an HTTP interface: table service, object store and host list.
 ///
-/// POST /control changes the faults and hosts that it names; GET /control shows how often the platform was used.
+/// `POST /control` changes the faults and hosts in its body; `GET /control` returns the operation counts.
 class PlatformStandin : public Http::HttpHandler
 {
 public:
@@ -22,7 +22,7 @@
     void handleRequest(const std::shared_ptr<Http::HttpExchange> &exchange) override;
 
 private:
-    /// \brief An answer that is ready to be sent.
+    /// \brief Answer to be sent.
     struct Reply
     {
         int status = 200;
@@ -30,16 +30,16 @@
     };
 
     explicit PlatformStandin(EventLoop::Loop &loop);
-    Reply control(const Http::HttpExchange &exchange);
+    Reply handleControl(const Http::HttpExchange &exchange);
     Reply read(const Http::HttpExchange &exchange) const;
     Reply write(const Http::HttpExchange &exchange);
-    void callAfter(std::chrono::milliseconds span, const std::function<void()> &callback);
-    void answer(const std::shared_ptr<Http::HttpExchange> &exchange, Reply reply);
+    void callAfter(std::chrono::milliseconds duration, const std::function<void()> &callback);
+    void sendReply(const std::shared_ptr<Http::HttpExchange> &exchange, Reply reply);
 
     EventLoop::Loop &m_loop;
     PlatformState m_state;
     std::vector<std::shared_ptr<Http::HttpExchange>> m_unanswered;
-    std::vector<std::unique_ptr<EventLoop::Timer>> m_delayed;
+    std::vector<std::unique_ptr<EventLoop::Timer>> m_delayTimers;
     std::unique_ptr<Http::HttpServer> m_server;
 };
 
--- a/src/libs/standin/platformstate.cpp
+++ b/src/libs/standin/platformstate.cpp
@@ -90,7 +90,7 @@
     if (found.size() <= limit) {
         return found;
     }
-    // Rows of one commit share a revision; a page that ended between them would hide the rest from the next scan.
+    // Rows of one commit share a revision. A page that ended between them would hide the remaining rows from the next scan, which starts after that revision.
     std::size_t end = limit;
     while (end > 0 && end < found.size() && found[end].revision == found[end - 1].revision) {
         ++end;
@@ -142,7 +142,7 @@
 
 void PlatformState::setHosts(std::vector<Store::HostEntry> hosts, Core::TimePoint now)
 {
-    // The list that shows now is kept, with the changes that are still to show.
+    // Keeps the currently visible list and the changes that are not visible yet.
     while (m_hostChanges.size() > 1 && m_hostChanges[1].visibleAt <= now) {
         m_hostChanges.erase(m_hostChanges.begin());
     }
--- a/src/libs/standin/platformstate.h
+++ b/src/libs/standin/platformstate.h
@@ -12,28 +12,28 @@
 
 namespace Verbena::Standin {
 
-/// \brief How a platform in an outage behaves.
+/// \brief Behaviour of the platform during an outage.
 enum class Outage {
     None,
-    Refusing, ///< Answers at once that it is out of service.
-    Silent, ///< Takes requests and never answers; nothing takes effect.
+    Refusing, ///< Answers immediately that it is unavailable.
+    Silent, ///< Accepts requests, ignores them and never answers.
 };
 
-/// \brief Faults of the platform that a test switches on.
+/// \brief Faults that a test can enable in the platform.
 struct PlatformFaults
 {
-    std::uint32_t writesPerSecond = 0; ///< Commits and puts; 0 means no limit.
-    std::uint32_t readsPerSecond = 0; ///< Gets, scans and host lists; 0 means no limit.
+    std::uint32_t writesPerSecond = 0; ///< Maximum rate of commits and puts; 0 means no limit.
+    std::uint32_t readsPerSecond = 0; ///< Maximum rate of gets, scans and host lists; 0 means no limit.
     Outage outage = Outage::None;
-    std::chrono::milliseconds slowness{0}; ///< Each answer comes this much later.
-    std::uint32_t lostAnswers = 0; ///< So many of the next writes take effect and are not answered.
-    std::uint32_t lostRequests = 0; ///< So many of the next writes are not answered and take no effect.
-    std::uint32_t delayedWrites = 0; ///< So many of the next writes are not answered and take effect after writeDelay.
-    std::chrono::milliseconds writeDelay{5'000};
-    std::chrono::milliseconds hostListLag{0}; ///< A change of the host list shows this much later.
+    std::chrono::milliseconds answerDelay{0}; ///< Additional delay of each answer.
+    std::uint32_t lostAnswers = 0; ///< Number of next writes that take effect but are not answered.
+    std::uint32_t lostRequests = 0; ///< Number of next writes that neither take effect nor are answered.
+    std::uint32_t delayedWrites = 0; ///< Number of next writes that are not answered and take effect after writeDelay.
+    std::chrono::milliseconds writeDelay{5'000}; ///< Delay of delayedWrites.
+    std::chrono::milliseconds hostListLag{0}; ///< Time after which a change of the host list becomes visible.
 };
 
-/// \brief What becomes of one operation.
+/// \brief How the platform processes an operation.
 enum class Admission {
     Serve,
     ServeWithoutAnswer,
@@ -43,7 +43,7 @@
     Refused,
 };
 
-/// \brief How often the platform was used.
+/// \brief Operation counts of the platform.
 struct PlatformCounts
 {
     std::uint64_t reads = 0;
@@ -51,7 +51,7 @@
     std::uint64_t overBudget = 0;
 };
 
-/// \brief The platform's table, objects and hosts in memory, with its faults. Does no I/O.
+/// \brief In-memory state of the simulated platform: table, objects, hosts and faults. Does no I/O.
 class PlatformState
 {
 public:
@@ -59,8 +59,9 @@
     const PlatformFaults &faults() const;
     const PlatformCounts &counts() const;
 
-    /// \brief Counts an operation against the budget and the faults, and says what becomes of it.
+    /// \brief Counts a read against the budget and the faults, and returns how it is processed.
     Admission admitRead(Core::TimePoint now);
+    /// \brief Counts a write against the budget and the faults, and returns how it is processed.
     Admission admitWrite(Core::TimePoint now);
 
     std::vector<Store::TableRow> rows(const std::vector<std::string> &keys) const;
@@ -70,7 +71,7 @@
     std::optional<std::string> object(const std::string &name) const;
     void setObject(const std::string &name, std::string content);
 
-    /// \brief Sets the hosts; the list shows them after the lag.
+    /// \brief Sets the hosts. hosts() returns them after PlatformFaults::hostListLag.
     void setHosts(std::vector<Store::HostEntry> hosts, Core::TimePoint now);
     std::vector<Store::HostEntry> hosts(Core::TimePoint now) const;
 
--- a/src/libs/standin/prefixcache.cpp
+++ b/src/libs/standin/prefixcache.cpp
@@ -13,13 +13,13 @@
 {
 }
 
-std::size_t PrefixCache::use(std::span<const PieceHash> pieces)
+std::size_t PrefixCache::lookUp(std::span<const PieceHash> pieces)
 {
     std::size_t count = 0;
     while (count < pieces.size() && contains(pieces[count])) {
         ++count;
     }
-    // The deepest is touched first, so that it is evicted before the pieces it builds on.
+    // Touches the deepest piece first, so that it is evicted before the pieces it depends on.
     for (std::size_t i = count; i > 0; --i) {
         touch(pieces[i - 1]);
     }
@@ -28,18 +28,18 @@
 
 void PrefixCache::store(PieceHash root, std::span<const PieceHash> pieces, const std::string &request, Core::TimePoint now)
 {
-    // What does not fit stays out: the shallow pieces are worth more.
+    // Leaves out the deep pieces that don't fit, as the shallow pieces are shared by more prompts.
     pieces = pieces.first(std::min(pieces.size(), m_capacity));
     PieceHash parent = root;
     for (std::size_t i = 0; i < pieces.size(); ++i) {
         if (!contains(pieces[i])) {
-            m_order.push_front(pieces[i]);
-            m_pieces.emplace(pieces[i], m_order.begin());
-            note({0, CacheEvent::Kind::Stored, pieces[i], parent, static_cast<std::uint32_t>(i), request, now});
+            m_lruOrder.push_front(pieces[i]);
+            m_pieces.emplace(pieces[i], m_lruOrder.begin());
+            recordEvent({0, CacheEvent::Kind::Stored, pieces[i], parent, static_cast<std::uint32_t>(i), request, now});
         }
         parent = pieces[i];
     }
-    use(pieces);
+    lookUp(pieces);
     while (m_pieces.size() > m_capacity) {
         evictOne(now);
     }
@@ -69,18 +69,18 @@
 
 void PrefixCache::touch(PieceHash piece)
 {
-    m_order.splice(m_order.begin(), m_order, m_pieces.at(piece));
+    m_lruOrder.splice(m_lruOrder.begin(), m_lruOrder, m_pieces.at(piece));
 }
 
 void PrefixCache::evictOne(Core::TimePoint now)
 {
-    const PieceHash piece = m_order.back();
-    m_order.pop_back();
+    const PieceHash piece = m_lruOrder.back();
+    m_lruOrder.pop_back();
     m_pieces.erase(piece);
-    note({0, CacheEvent::Kind::Removed, piece, PieceHash{}, 0, "", now});
+    recordEvent({0, CacheEvent::Kind::Removed, piece, PieceHash{}, 0, "", now});
 }
 
-void PrefixCache::note(CacheEvent event)
+void PrefixCache::recordEvent(CacheEvent event)
 {
     event.sequence = ++m_lastSequence;
     m_events.push_back(std::move(event));
--- a/src/libs/standin/runlist.cpp
+++ b/src/libs/standin/runlist.cpp
@@ -41,7 +41,7 @@
     run.idempotencyKey = exchange.header("Idempotency-Key").value_or("");
     run.path = exchange.path();
     run.bodyHash = bodyHash(exchange.body());
-    run.times = ++m_timesOfRequest[run.request];
+    run.executionNumber = ++m_executionCounts[run.request];
     m_runs.push_back(std::move(run));
     return RunId(m_runs.size() - 1);
 }
@@ -61,7 +61,7 @@
             {"path", run.path},
             {"body_hash", run.bodyHash},
             {"state", nameOf(run.state)},
-            {"times", run.times}});
+            {"times", run.executionNumber}});
     }
     const nlohmann::json root{{"incarnation", incarnation}, {"runs", std::move(list)}};
     return root.dump(-1, ' ', false, nlohmann::json::error_handler_t::replace);
--- a/src/libs/standin/servicestandin.cpp
+++ b/src/libs/standin/servicestandin.cpp
@@ -23,7 +23,7 @@
     ServiceStandin *self = service.get();
     BOOST_OUTCOME_TRY(opened, FaultyServer::create(loop, options.port, options.faults, *service));
     service->m_server = std::move(opened);
-    service->m_server->setChangedCallback([self] { self->endCalls(); });
+    service->m_server->setChangedCallback([self] { self->finishDueCalls(); });
     return service;
 }
 
@@ -31,7 +31,7 @@
     : m_loop(loop)
     , m_options(options)
     , m_incarnation(newIncarnation())
-    , m_timer(loop, [this] { endCalls(); })
+    , m_timer(loop, [this] { finishDueCalls(); })
 {
 }
 
@@ -54,7 +54,7 @@
     } else if (exchange->path() == "/runs") {
         respond(*exchange, 200, m_runs.toJson(m_incarnation));
     } else {
-        respond(*exchange, 404, R"({"error":{"message":"There is no such path."}})");
+        respond(*exchange, 404, R"({"error":{"message":"The path does not exist."}})");
     }
 }
 
@@ -63,22 +63,22 @@
     if (m_server->faults().crash == CrashPoint::BeforeAdmission) {
         std::_Exit(EXIT_FAILURE);
     }
-    // A call that has begun has its effect, whether its caller waits for the answer or not.
-    const auto span = std::chrono::duration_cast<std::chrono::microseconds>(m_options.callTime * m_server->faults().slowFactor);
-    m_calls.push_back({m_runs.start(*exchange), exchange, m_loop.now() + span});
+    // A call that has started takes effect, whether its caller waits for the answer or not.
+    const auto duration = std::chrono::duration_cast<std::chrono::microseconds>(m_options.callDuration * m_server->faults().slowFactor);
+    m_calls.push_back({m_runs.start(*exchange), exchange, m_loop.now() + duration});
     if (!m_timer.isActive()) {
         m_timer.startAt(m_calls.back().endsAt);
     }
 }
 
-void ServiceStandin::endCalls()
+void ServiceStandin::finishDueCalls()
 {
     if (m_server->faults().isHanging) {
         return;
     }
     const Core::TimePoint now = m_loop.now();
     while (!m_calls.empty() && m_calls.front().endsAt <= now) {
-        endCall(m_calls.front());
+        finishCall(m_calls.front());
         m_calls.pop_front();
     }
     if (!m_calls.empty()) {
@@ -86,7 +86,7 @@
     }
 }
 
-void ServiceStandin::endCall(const Call &call)
+void ServiceStandin::finishCall(const Call &call)
 {
     Faults &faults = m_server->faults();
     m_runs.setState(call.run, RunState::Finished);
@@ -94,12 +94,12 @@
         std::_Exit(EXIT_FAILURE);
     }
     if (faults.isLosingAnswers || faults.cutAfterTokens) {
-        faults.consumeOne();
+        faults.recordOccurrence();
         call.exchange->abortStream();
         return;
     }
     const std::string name = call.exchange->path().substr(1);
-    const std::string answer = AnswerText(call.exchange->body()).whole(answerTokens);
+    const std::string answer = AnswerText(call.exchange->body()).firstTokens(answerTokens);
     respond(*call.exchange, 200, json{{"call", name}, {"answer", answer}}.dump());
 }
 
--- a/src/libs/standin/servicestandin.h
+++ b/src/libs/standin/servicestandin.h
@@ -11,26 +11,26 @@
 
 namespace Verbena::Standin {
 
-/// \brief How the service stand-in behaves.
+/// \brief Options of the service stand-in.
 struct ServiceOptions
 {
-    std::uint16_t port = 0; ///< 0 lets the system choose.
-    std::chrono::microseconds callTime{1000}; ///< From a call's start to its answer.
+    std::uint16_t port = 0; ///< Port to listen on; 0 lets the system choose.
+    std::chrono::microseconds callDuration{1000}; ///< Time from the start of a call to its answer.
     Faults faults;
 };
 
-/// \brief Stands in for a plain service whose calls may not be repeated; every answer carries the header `Engine-Incarnation`.
+/// \brief Simulated plain service whose calls may not be repeated. Every answer has the header `Engine-Incarnation`.
 ///
-/// - `POST /<call>` runs the call and answers `{"call": "<call>", "answer": AnswerText(body).whole(4)}`.
+/// - `POST /<call>` runs the call and answers `{"call": "<call>", "answer": AnswerText(body).firstTokens(4)}`.
 /// - `GET /load`: `incarnation`, `running`, `queued` (always 0). `GET /runs`: see RunList. `POST /control`: see Faults; of the crash points,
-///   after_last_token lies between the effect and the answer, and at_token is the same.
+///   after_last_token and at_token both lie between the effect and the answer.
 class ServiceStandin : public Http::HttpHandler
 {
 public:
-    /// \brief Tokens of the answer to a call.
+    /// \brief Number of tokens in the answer to a call.
     static constexpr std::uint32_t answerTokens = 4;
 
-    /// \brief Starts to listen. Errors: Unavailable.
+    /// \brief Creates a service that listens on the port of \a options. Errors: Unavailable.
     static Core::Result<std::unique_ptr<ServiceStandin>> create(EventLoop::Loop &loop, const ServiceOptions &options);
 
     std::uint16_t port() const;
@@ -47,8 +47,8 @@
     ServiceStandin(EventLoop::Loop &loop, const ServiceOptions &options);
     void respond(Http::HttpExchange &exchange, int status, std::string body) const;
     void startCall(const std::shared_ptr<Http::HttpExchange> &exchange);
-    void endCalls();
-    void endCall(const Call &call);
+    void finishDueCalls();
+    void finishCall(const Call &call);
 
     EventLoop::Loop &m_loop;
     ServiceOptions m_options;
--- a/tests/auto/agent/tst_agent.cpp
+++ b/tests/auto/agent/tst_agent.cpp
@@ -19,7 +19,7 @@
 
 std::string answer(const std::string &prompt, std::uint32_t tokens)
 {
-    return Standin::AnswerText(prompt).whole(tokens);
+    return Standin::AnswerText(prompt).firstTokens(tokens);
 }
 
 Dispatch serviceCall(const std::string &request)
--- a/tests/auto/control/tst_claimledger.cpp
+++ b/tests/auto/control/tst_claimledger.cpp
@@ -251,7 +251,7 @@
     faults.writesPerSecond = *rc::gen::element(0U, 0U, 5U, 50U);
     faults.readsPerSecond = *rc::gen::element(0U, 0U, 5U, 50U);
     faults.outage = *rc::gen::element(Outage::None, Outage::None, Outage::None, Outage::Refusing, Outage::Silent);
-    faults.slowness = std::chrono::milliseconds(*rc::gen::element(0, 0, 300, 1500));
+    faults.answerDelay = std::chrono::milliseconds(*rc::gen::element(0, 0, 300, 1500));
     faults.lostAnswers = *rc::gen::element(0U, 0U, 1U, 3U);
     faults.lostRequests = *rc::gen::element(0U, 0U, 1U, 3U);
     faults.delayedWrites = *rc::gen::element(0U, 0U, 1U, 3U);
--- a/tests/auto/control/tst_lease.cpp
+++ b/tests/auto/control/tst_lease.cpp
@@ -272,7 +272,7 @@
     {
         Standin::PlatformFaults faults;
         faults.outage = *rc::gen::element(Outage::None, Outage::None, Outage::None, Outage::Refusing, Outage::Silent);
-        faults.slowness = std::chrono::milliseconds(*rc::gen::element(0, 0, 300, 1500));
+        faults.answerDelay = std::chrono::milliseconds(*rc::gen::element(0, 0, 300, 1500));
         faults.lostAnswers = *rc::gen::element(0U, 1U, 3U);
         faults.lostRequests = *rc::gen::element(0U, 1U, 3U);
         faults.delayedWrites = *rc::gen::element(0U, 1U, 2U);
--- a/tests/auto/load/tst_loadreport.cpp
+++ b/tests/auto/load/tst_loadreport.cpp
@@ -20,17 +20,17 @@
 using nlohmann::json;
 using std::chrono::nanoseconds;
 
-TEST(LatencyHistogramTest, quantilesAgreeWithSortedSpans)
+TEST(LatencyHistogramTest, quantilesMatchSortedDurations)
 {
     EXPECT_TRUE(rc::check("quantiles", [] {
-        const auto spans = *rc::gen::nonEmpty(rc::gen::container<std::vector<std::int64_t>>(rc::gen::inRange<std::int64_t>(2'000, 900'000'000)));
+        const auto durations = *rc::gen::nonEmpty(rc::gen::container<std::vector<std::int64_t>>(rc::gen::inRange<std::int64_t>(2'000, 900'000'000)));
         LatencyHistogram first;
         LatencyHistogram second;
-        for (std::size_t i = 0; i < spans.size(); ++i) {
-            (i % 2 == 0 ? first : second).record(nanoseconds(spans[i]));
+        for (std::size_t i = 0; i < durations.size(); ++i) {
+            (i % 2 == 0 ? first : second).record(nanoseconds(durations[i]));
         }
         first.add(second);
-        std::vector<std::int64_t> sorted = spans;
+        std::vector<std::int64_t> sorted = durations;
         std::ranges::sort(sorted);
         for (const double q : {0.5, 0.95, 0.99, 0.999}) {
             const auto rank = static_cast<std::size_t>(std::max(1.0, std::ceil(q * static_cast<double>(sorted.size()))));
@@ -40,7 +40,7 @@
     }));
 }
 
-TEST(RunsCheckTest, findsWhatRanTwiceAndWhatRanThoughCalledNotRun)
+TEST(RunsCheckTest, findsDuplicateRunsAndFalseNotRunReports)
 {
     const auto runs = [](std::initializer_list<const char *> bodies) {
         json list = json::array();
@@ -55,31 +55,31 @@
     }
     check.addNotRun("c");
     check.addNotRun("d");
-    ASSERT_TRUE(check.takeRuns(runs({"a", "b", "c", "not ours", "not ours"})));
-    EXPECT_EQ(check.doubledCount(), 0U);
-    ASSERT_TRUE(check.takeRuns(runs({"b"})));
-    EXPECT_EQ(check.doubledCount(), 1U);
+    ASSERT_TRUE(check.addRuns(runs({"a", "b", "c", "not ours", "not ours"})));
+    EXPECT_EQ(check.duplicateCount(), 0U);
+    ASSERT_TRUE(check.addRuns(runs({"b"})));
+    EXPECT_EQ(check.duplicateCount(), 1U);
     EXPECT_EQ(check.falseNotRunCount(), 1U);
-    EXPECT_FALSE(check.takeRuns("nothing"));
+    EXPECT_FALSE(check.addRuns("nothing"));
 }
 
 TEST(LoadReportTest, isCleanOnlyWithoutFaults)
 {
-    for (const Outcome bad : {Outcome::Broken, Outcome::Crossed, Outcome::Doubled, Outcome::Lost}) {
+    for (const Outcome fault : {Outcome::Corrupted, Outcome::Misdelivered, Outcome::Duplicated, Outcome::Lost}) {
         LoadReport report({"kessick", "kalari"});
-        report.tally(0).outcomes[static_cast<std::size_t>(Outcome::Whole)] = 3;
+        report.tally(0).outcomes[static_cast<std::size_t>(Outcome::Complete)] = 3;
         report.tally(0).outcomes[static_cast<std::size_t>(Outcome::NotRun)] = 1;
         EXPECT_TRUE(report.isClean());
-        report.tally(1).outcomes[static_cast<std::size_t>(bad)] = 1;
+        report.tally(1).outcomes[static_cast<std::size_t>(fault)] = 1;
         EXPECT_FALSE(report.isClean());
     }
     LoadReport report({"kessick"});
-    report.addDoubledRuns(1);
+    report.addDuplicateRuns(1);
     EXPECT_FALSE(report.isClean());
     EXPECT_EQ(json::parse(report.toJson())["doubled"], 1);
 }
 
-TEST(WorkloadTest, repeatsItselfBySeedAndNeverRepeatsARequest)
+TEST(WorkloadTest, sameSeedGivesTheSameUniqueRequests)
 {
     WorkloadOptions options;
     options.kind = WorkloadKind::Kalari;
--- a/tests/auto/path/tst_failures.cpp
+++ b/tests/auto/path/tst_failures.cpp
@@ -191,7 +191,7 @@
     {
         EXPECT_EQ(answer.status, 200);
         const Streamed streamed = readStream(answer.body);
-        EXPECT_EQ(streamed.text, Standin::AnswerText(prompt).whole(answerTokens));
+        EXPECT_EQ(streamed.text, Standin::AnswerText(prompt).firstTokens(answerTokens));
         EXPECT_TRUE(streamed.isDone);
         EXPECT_EQ(streamed.run, "");
     }
@@ -233,7 +233,7 @@
     const Streamed streamed = readStream(answer.body);
     EXPECT_FALSE(streamed.isDone);
     EXPECT_EQ(streamed.run, "run");
-    EXPECT_TRUE(Standin::AnswerText(prompt).whole(answerTokens).starts_with(streamed.text));
+    EXPECT_TRUE(Standin::AnswerText(prompt).firstTokens(answerTokens).starts_with(streamed.text));
     std::size_t runs = 0;
     for (std::size_t i = 0; i < 2; ++i) {
         for (const json &run : runsOf(m_deployment.engine(i))) {
@@ -484,7 +484,7 @@
     EXPECT_GE(held, fullAgent);
     EXPECT_LE(held, 2 * fullAgent);
     const Streamed streamed = readStream(caller.readAll());
-    EXPECT_EQ(streamed.text, Standin::AnswerText("slow").whole(tokens));
+    EXPECT_EQ(streamed.text, Standin::AnswerText("slow").firstTokens(tokens));
     EXPECT_TRUE(streamed.isDone);
 }
 
--- a/tests/auto/path/tst_path.cpp
+++ b/tests/auto/path/tst_path.cpp
@@ -39,7 +39,7 @@
     const TestAnswer answer = complete({{"model", "analyst"}, {"prompt", "piezometer 7"}, {"max_tokens", 20}, {"stream", true}});
     EXPECT_EQ(answer.status, 200);
     EXPECT_EQ(answer.fields.at("verbena-run"), "run");
-    EXPECT_EQ(textOfStream(answer.body), Standin::AnswerText("piezometer 7").whole(20));
+    EXPECT_EQ(textOfStream(answer.body), Standin::AnswerText("piezometer 7").firstTokens(20));
     EXPECT_TRUE(answer.body.ends_with("data: [DONE]\n\n"));
 }
 
@@ -47,7 +47,7 @@
 {
     const TestAnswer answer = complete({{"model", "analyst"}, {"prompt", "seepage"}, {"max_tokens", 5}});
     EXPECT_EQ(answer.status, 200);
-    EXPECT_EQ(nlohmann::json::parse(answer.body)["choices"][0]["text"], Standin::AnswerText("seepage").whole(5));
+    EXPECT_EQ(nlohmann::json::parse(answer.body)["choices"][0]["text"], Standin::AnswerText("seepage").firstTokens(5));
 }
 
 TEST_F(PathTest, refusesAnUnknownKeyAndAnUnknownModel)
--- a/tests/auto/standin/tst_prefixcache.cpp
+++ b/tests/auto/standin/tst_prefixcache.cpp
@@ -10,16 +10,16 @@
 
 namespace {
 
-/// The same cache, written plainly: the most recently used piece comes first.
-class NaiveCache
+/// Simple reference implementation of the cache; the most recently used piece comes first.
+class ReferenceCache
 {
 public:
-    explicit NaiveCache(std::size_t capacity)
+    explicit ReferenceCache(std::size_t capacity)
         : m_capacity(capacity)
     {
     }
 
-    std::size_t use(const std::vector<PieceHash> &pieces)
+    std::size_t lookUp(const std::vector<PieceHash> &pieces)
     {
         std::size_t count = 0;
         while (count < pieces.size() && std::ranges::find(m_pieces, pieces[count]) != m_pieces.end()) {
@@ -40,7 +40,7 @@
                 m_pieces.insert(m_pieces.begin(), piece);
             }
         }
-        use(pieces);
+        lookUp(pieces);
         m_pieces.resize(std::min(m_pieces.size(), m_capacity));
     }
 
@@ -49,7 +49,7 @@
     std::vector<PieceHash> m_pieces;
 };
 
-// A path of a tree with three branches at each of four levels; equal numbers are equal prefixes.
+// Returns a random path in a tree with three branches at each of four levels. Equal hashes are equal prefixes.
 std::vector<PieceHash> somePrompt()
 {
     std::vector<PieceHash> pieces;
@@ -62,31 +62,31 @@
     return pieces;
 }
 
-TEST(PrefixCacheTest, agreesWithTheNaiveCacheAndItsOwnEvents)
+TEST(PrefixCacheTest, matchesTheReferenceCacheAndItsOwnEvents)
 {
     EXPECT_TRUE(rc::check("use and store", [] {
         const auto capacity = *rc::gen::inRange<std::size_t>(1, 12);
         PrefixCache cache(capacity);
-        NaiveCache naive(capacity);
+        ReferenceCache reference(capacity);
         for (int i = 0; i < 40; ++i) {
             const std::vector<PieceHash> prompt = somePrompt();
-            RC_ASSERT(cache.use(prompt) == naive.use(prompt));
+            RC_ASSERT(cache.lookUp(prompt) == reference.lookUp(prompt));
             cache.store(PieceHash{}, prompt, "request", Core::TimePoint{});
-            naive.store(prompt);
+            reference.store(prompt);
             RC_ASSERT(cache.size() <= capacity);
         }
-        std::vector<PieceHash> told;
+        std::vector<PieceHash> cached;
         std::uint64_t sequence = 0;
         for (const CacheEvent &event : cache.events()) {
             RC_ASSERT(event.sequence == ++sequence);
             if (event.kind == CacheEvent::Kind::Stored) {
-                told.push_back(event.piece);
+                cached.push_back(event.piece);
             } else {
-                RC_ASSERT(std::erase(told, event.piece) == 1U);
+                RC_ASSERT(std::erase(cached, event.piece) == 1U);
             }
         }
-        RC_ASSERT(told.size() == cache.size());
-        RC_ASSERT(std::ranges::all_of(told, [&cache](PieceHash piece) { return cache.contains(piece); }));
+        RC_ASSERT(cached.size() == cache.size());
+        RC_ASSERT(std::ranges::all_of(cached, [&cache](PieceHash piece) { return cache.contains(piece); }));
     }));
 }
 
--- a/tests/auto/standin/tst_standin.cpp
+++ b/tests/auto/standin/tst_standin.cpp
@@ -15,7 +15,7 @@
 
 using nlohmann::json;
 
-/// A stand-in as a process.
+/// Stand-in that runs as a child process.
 class Standin
 {
 public:
@@ -106,12 +106,13 @@
 {
     const Standin engine({"engine", "--decode-interval-us", "0"});
     const ::Verbena::Standin::AnswerText answer("seepage");
-    const json resumed = engine.complete({{"prompt", "seepage"}, {"max_tokens", 9}, {"verbena_resume_tokens", 4}, {"verbena_resume_text", answer.whole(4)}});
-    EXPECT_EQ(answer.whole(4) + resumed["choices"][0]["text"].get<std::string>(), answer.whole(9));
+    const json resumed
+        = engine.complete({{"prompt", "seepage"}, {"max_tokens", 9}, {"verbena_resume_tokens", 4}, {"verbena_resume_text", answer.firstTokens(4)}});
+    EXPECT_EQ(answer.firstTokens(4) + resumed["choices"][0]["text"].get<std::string>(), answer.firstTokens(9));
     EXPECT_EQ(resumed["usage"]["completion_tokens"], 5);
 }
 
-TEST(EngineStandinTest, checksFencingNumbersUnlessToldNotTo)
+TEST(EngineStandinTest, checksFencingNumbersUnlessDisabled)
 {
     const json newer{{"order", "load"}, {"model", "analyst"}, {"version", "8"}, {"fencing", 5}};
     const json older{{"order", "unload"}, {"model", "analyst"}, {"fencing", 4}};
@@ -123,14 +124,14 @@
     EXPECT_EQ(ignoring.post("/orders", older).status, 200);
 }
 
-TEST(EngineStandinTest, crashesAfterTheTokenItWasToldTo)
+TEST(EngineStandinTest, crashesAfterTheConfiguredToken)
 {
     Standin engine({"engine", "--decode-interval-us", "0", "--faults", R"({"crash": "at_token", "crash_token": 2})"});
     EXPECT_EQ(engine.post("/v1/completions", {{"prompt", "x"}, {"max_tokens", 5}, {"stream", true}}).status, 0);
     EXPECT_EQ(engine.process.waitForExit(), 1);
 }
 
-TEST(ServiceStandinTest, runsACallOnceWhoseAnswerIsLostOnAConnectionInUse)
+TEST(ServiceStandinTest, runsACallOnceIfItsAnswerIsLostOnAReusedConnection)
 {
     const Standin service({"service"});
     const auto loop = EventLoop::Loop::create();
@@ -143,7 +144,7 @@
     EXPECT_EQ(service.get("/runs")["runs"].size(), 2U);
 }
 
-TEST(ServiceStandinTest, aRepeatableCallThatWasSentOnceIsNotCalledUnsentWhenItsRepetitionCannotConnect)
+TEST(ServiceStandinTest, reportsASentRepeatableCallAsUnknownIfItsRepetitionCannotConnect)
 {
     const Standin service({"service"});
     const auto loop = EventLoop::Loop::create();
