--- a/src/apps/policybench/bench.cpp
+++ b/src/apps/policybench/bench.cpp
@@ -10,17 +10,17 @@
 
 namespace {
 
-constexpr auto hop = 1ms; ///< One way between router and agent.
+constexpr auto hop = 1ms; ///< One-way latency between router and agent.
 constexpr auto cacheEventDelay = 50ms;
 constexpr auto hostListLag = 5s;
 constexpr auto engineOutage = 2s;
 constexpr auto staleDelay = 2s;
-constexpr auto settleTime = 10s; ///< After the event, before the figures "after" begin.
+constexpr auto settlingTime = 10s; ///< Time after the event that the "after" statistics leave out.
 constexpr auto leavingGrace = 3s;
-constexpr std::uint64_t cacheEventsToOneLost = 500;
+constexpr std::uint64_t cacheEventsPerLoss = 500;
 constexpr std::uint32_t maximumAttempts = 3;
-constexpr std::size_t partAffected = 10; ///< One backend server in so many crashes or leaves.
-// Sizes on the wire, near enough: a load hint, and what a message has besides.
+constexpr std::size_t serversPerAffected = 10; ///< One of this many backend servers crashes or leaves.
+// Approximate sizes on the wire: a load hint, and the overhead of a message.
 constexpr std::size_t hintBytes = 48;
 constexpr std::size_t messageBytes = 64;
 const Decisions::ModelVersion modelVersion{"model", "", "1"};
@@ -39,10 +39,10 @@
     return shares;
 }
 
-Worker workerNumber(std::size_t number, const Deployment &deployment)
+Worker createWorker(std::size_t number, const Deployment &deployment)
 {
     Decisions::AdmissionGateOptions options;
-    // A queue of two cold prompts is no overload yet.
+    // A queue of two uncached prompts doesn't count as overload yet.
     options.overload.highWait = std::chrono::duration_cast<std::chrono::milliseconds>(2 * deployment.promptPieces() * deployment.prefillPerPiece);
     options.overload.lowWait = options.overload.highWait * 3 / 10;
     options.cost.pieceTokens = Deployment::pieceTokens;
@@ -63,7 +63,7 @@
     if (bench->m_policy == nullptr) {
         return nullptr;
     }
-    bench->tellFleet({});
+    bench->updateFleet({});
     return bench;
 }
 
@@ -77,16 +77,16 @@
     , m_end(m_eventAt + options.after)
 {
     for (std::size_t i = 0; i < options.workers; ++i) {
-        m_workers.push_back(workerNumber(i, m_deployment));
+        m_workers.push_back(createWorker(i, m_deployment));
         m_indexes.emplace(m_workers.back().id, i);
     }
 }
 
 nlohmann::ordered_json Bench::run()
 {
-    arrive(m_now);
-    at(m_eventAt, [this] { beginEvent(); });
-    at(m_now + 100ms, [this] { sampleQueues(); });
+    scheduleArrival(m_now);
+    schedule(m_eventAt, [this] { startScenarioEvent(); });
+    schedule(m_now + 100ms, [this] { sampleQueues(); });
     while (!m_events.empty()) {
         const Event event = m_events.top();
         m_events.pop();
@@ -96,8 +96,8 @@
     const double capacity = m_deployment.capacity(m_options.workers);
     nlohmann::ordered_json json = m_all.toJson(m_options.before + m_options.after, m_options.workers, capacity);
     json["before"] = m_before.toJson(m_options.before, m_options.workers, capacity);
-    json["after"] = m_after.toJson(m_options.after - settleTime, m_options.workers, capacity);
-    json["sent_to_leaving_late"] = m_toLeaving;
+    json["after"] = m_after.toJson(m_options.after - settlingTime, m_options.workers, capacity);
+    json["sent_to_leaving_late"] = m_lateDispatchesToLeaving;
     for (const auto &[second, figures] : m_seconds) {
         nlohmann::ordered_json point = figures.toJson(1s, m_options.workers, capacity);
         point.erase("organisations");
@@ -107,12 +107,12 @@
     return json;
 }
 
-void Bench::at(Core::TimePoint when, std::function<void()> action)
+void Bench::schedule(Core::TimePoint time, std::function<void()> action)
 {
-    m_events.push({when, ++m_lastEvent, std::move(action)});
+    m_events.push({time, ++m_lastEvent, std::move(action)});
 }
 
-void Bench::note(const Request &request, const std::function<void(Figures &)> &change)
+void Bench::record(const Request &request, const std::function<void(Statistics &)> &change)
 {
     const auto sinceEvent = request.arrival - m_eventAt;
     if (sinceEvent < -m_options.before || request.arrival >= m_end) {
@@ -122,12 +122,12 @@
     change(m_seconds[std::chrono::floor<std::chrono::seconds>(sinceEvent).count()]);
     if (sinceEvent < 0s) {
         change(m_before);
-    } else if (sinceEvent >= settleTime) {
+    } else if (sinceEvent >= settlingTime) {
         change(m_after);
     }
 }
 
-void Bench::tellFleet(const std::vector<BackendServerId> &leaving)
+void Bench::updateFleet(const std::vector<BackendServerId> &leaving)
 {
     std::vector<Decisions::BackendServer> fleet;
     for (std::size_t i = 0; i < m_workers.size(); ++i) {
@@ -142,130 +142,131 @@
     m_policy->setFleet(fleet);
 }
 
-void Bench::beginEvent()
+void Bench::startScenarioEvent()
 {
-    const std::size_t affected = std::max<std::size_t>(1, m_workers.size() / partAffected);
+    const std::size_t affected = std::max<std::size_t>(1, m_workers.size() / serversPerAffected);
     std::vector<BackendServerId> leaving;
     for (std::size_t i = 0; i < affected; ++i) {
         if (m_options.scenario == "crash") {
             crash(m_workers[i]);
         } else if (m_options.scenario == "leaving") {
             leaving.push_back(m_workers[i].id);
-            carryOut(m_workers[i], m_workers[i].gate->setLeaving(true, m_now));
+            execute(m_workers[i], m_workers[i].gate->setLeaving(true, m_now));
         }
     }
     if (m_options.scenario == "leaving") {
-        at(m_now + hostListLag, [this, leaving] { tellFleet(leaving); });
+        schedule(m_now + hostListLag, [this, leaving] { updateFleet(leaving); });
     } else if (m_options.scenario == "hotshift") {
-        m_workload.shiftHeat();
+        m_workload.shiftHotPrefix();
     } else if (m_options.scenario == "herd") {
         m_policy->restartRouters();
     }
 }
 
-// What runs is lost and what waits is refused; the engine comes back empty.
+// Running requests are lost and waiting requests are refused. The engine restarts with an empty cache.
 void Bench::crash(Worker &worker)
 {
     worker.engine.crash(m_now + engineOutage);
     ++worker.incarnation;
     worker.cacheEvents = 0;
-    carryOut(worker, worker.gate->setEngineUp(false, m_now));
+    execute(worker, worker.gate->setEngineUp(false, m_now));
     std::vector<std::uint64_t> lost;
-    for (const auto &[id, flight] : m_flights) {
-        if (flight.attempt.server == worker.id && flight.isStarted) {
+    for (const auto &[id, pending] : m_pending) {
+        if (pending.attempt.server == worker.id && pending.isStarted) {
             lost.push_back(id);
         }
     }
     std::sort(lost.begin(), lost.end());
     for (const std::uint64_t id : lost) {
-        carryOut(worker, worker.gate->handleRunEnded({requestName(id), m_flights.at(id).attempts}, {Decisions::RunEnd::EngineLost, {}, {}, 0}, m_now));
-        at(m_now + hop, [this, id] { retry(id); });
+        execute(worker, worker.gate->handleRunEnded({requestName(id), m_pending.at(id).attempts}, {Decisions::RunEnd::EngineLost, {}, {}, 0}, m_now));
+        schedule(m_now + hop, [this, id] { retry(id); });
     }
-    at(m_now + engineOutage, [this, &worker] {
+    schedule(m_now + engineOutage, [this, &worker] {
         worker.gate->setEngineIncarnation(worker.incarnation);
-        carryOut(worker, worker.gate->setEngineUp(true, m_now));
+        execute(worker, worker.gate->setEngineUp(true, m_now));
     });
 }
 
-void Bench::arrive(Core::TimePoint last)
+void Bench::scheduleArrival(Core::TimePoint last)
 {
     const Request request = m_workload.next(last);
     if (request.arrival >= m_end) {
         return;
     }
-    at(request.arrival, [this, request] {
-        note(request, [&request](Figures &figures) { figures.noteArrival(request); });
-        Flight &flight = m_flights[request.id];
-        flight.request = request;
-        flight.router = m_random() % m_options.routers;
-        flight.attempt.query.version = modelVersion;
-        flight.attempt.query.keys = request.keys;
-        flight.attempt.query.root = request.root;
-        flight.attempt.query.mark = m_policy->mark(flight.router, Workload::organisationName(request.organisation), m_now);
+    schedule(request.arrival, [this, request] {
+        record(request, [&request](Statistics &figures) { figures.recordArrival(request); });
+        PendingRequest &pending = m_pending[request.id];
+        pending.request = request;
+        pending.router = m_random() % m_options.routers;
+        pending.attempt.query.version = modelVersion;
+        pending.attempt.query.keys = request.keys;
+        pending.attempt.query.root = request.root;
+        pending.attempt.query.mark = m_policy->mark(pending.router, Workload::organisationName(request.organisation), m_now);
         probe(request.id);
-        arrive(m_now);
+        scheduleArrival(m_now);
     });
 }
 
 void Bench::probe(std::uint64_t id)
 {
-    const Flight &flight = m_flights.at(id);
-    const Decisions::RouteDecision probed = m_policy->probes(flight.router, flight.attempt.query, m_now);
+    const PendingRequest &pending = m_pending.at(id);
+    const Decisions::RouteDecision probed = m_policy->chooseProbes(pending.router, pending.attempt.query, m_now);
     if (probed.candidates.empty() || probed.isOverloaded) {
         dispatch(id, probed);
         return;
     }
     for (const Decisions::RouteCandidate &candidate : probed.candidates) {
-        noteMessage(flight, flight.request.keys.size() * sizeof(Decisions::PrefixKey));
-        noteMessage(flight, hintBytes);
-        at(m_now + hop, [this, id, server = candidate.id] { answerProbe(id, server); });
+        recordMessage(pending, pending.request.keys.size() * sizeof(Decisions::PrefixKey));
+        recordMessage(pending, hintBytes);
+        schedule(m_now + hop, [this, id, server = candidate.id] { handleProbe(id, server); });
     }
-    at(m_now + 2 * hop + 1us, [this, id, probed] { dispatch(id, probed); });
+    schedule(m_now + 2 * hop + 1us, [this, id, probed] { dispatch(id, probed); });
 }
 
-void Bench::answerProbe(std::uint64_t id, BackendServerId server)
+void Bench::handleProbe(std::uint64_t id, BackendServerId server)
 {
-    const Flight &flight = m_flights.at(id);
+    const PendingRequest &pending = m_pending.at(id);
     const Decisions::AdmissionGate &gate = *m_workers[m_indexes.at(server)].gate;
-    const ProbeReply reply{gate.warmPieces(flight.request.keys, m_now), gate.load(m_now)};
-    at(m_now + hop, [this, router = flight.router, query = flight.attempt.query, server, reply] { m_policy->noteProbe(router, server, query, reply, m_now); });
+    const ProbeReply reply{gate.warmPieces(pending.request.keys, m_now), gate.load(m_now)};
+    schedule(m_now + hop,
+        [this, router = pending.router, query = pending.attempt.query, server, reply] { m_policy->recordProbe(router, server, query, reply, m_now); });
 }
 
 void Bench::dispatch(std::uint64_t id, const Decisions::RouteDecision &probed)
 {
-    Flight &flight = m_flights.at(id);
-    const std::optional<BackendServerId> chosen = m_policy->choose(flight.router, flight.attempt.query, probed, m_now);
-    if (!chosen.has_value() || flight.attempts == maximumAttempts) {
-        note(flight.request, [](Figures &figures) { figures.noteNotRun(); });
-        m_flights.erase(id);
+    PendingRequest &pending = m_pending.at(id);
+    const std::optional<BackendServerId> chosen = m_policy->choose(pending.router, pending.attempt.query, probed, m_now);
+    if (!chosen.has_value() || pending.attempts == maximumAttempts) {
+        record(pending.request, [](Statistics &figures) { figures.recordNotRun(); });
+        m_pending.erase(id);
         return;
     }
-    ++flight.attempts;
-    flight.isStarted = false;
-    flight.attempt.server = *chosen;
-    flight.attempt.work = m_policy->expectedWork(flight.router, *chosen, flight.attempt.query, m_now);
-    m_policy->noteDispatched(flight.router, flight.attempt, m_now);
-    noteMessage(flight, flight.request.keys.size() * sizeof(Decisions::PrefixKey));
+    ++pending.attempts;
+    pending.isStarted = false;
+    pending.attempt.server = *chosen;
+    pending.attempt.work = m_policy->expectedWork(pending.router, *chosen, pending.attempt.query, m_now);
+    m_policy->recordDispatch(pending.router, pending.attempt, m_now);
+    recordMessage(pending, pending.request.keys.size() * sizeof(Decisions::PrefixKey));
     Worker &worker = m_workers[m_indexes.at(*chosen)];
-    m_toLeaving += worker.gate->isLeaving() && m_now >= m_eventAt + leavingGrace ? 1 : 0;
-    at(m_now + hop, [this, id, &worker] { deliver(id, worker); });
+    m_lateDispatchesToLeaving += worker.gate->isLeaving() && m_now >= m_eventAt + leavingGrace ? 1 : 0;
+    schedule(m_now + hop, [this, id, &worker] { deliver(id, worker); });
 }
 
 void Bench::retry(std::uint64_t id)
 {
-    Flight &flight = m_flights.at(id);
-    flight.attempt.query.excluded.push_back(flight.attempt.server);
+    PendingRequest &pending = m_pending.at(id);
+    pending.attempt.query.excluded.push_back(pending.attempt.server);
     probe(id);
 }
 
 void Bench::deliver(std::uint64_t id, Worker &worker)
 {
-    const Flight &flight = m_flights.at(id);
-    const Request &request = flight.request;
+    const PendingRequest &pending = m_pending.at(id);
+    const Request &request = pending.request;
     Decisions::GateRequest submitted;
-    submitted.ref = {requestName(id), flight.attempts};
+    submitted.ref = {requestName(id), pending.attempts};
     submitted.flow = {Workload::organisationName(request.organisation), "team", ""};
-    submitted.mark = flight.attempt.query.mark;
+    submitted.mark = pending.attempt.query.mark;
     submitted.version = modelVersion;
     submitted.keys = request.keys;
     submitted.promptTokens = static_cast<std::uint32_t>(request.keys.size()) * Deployment::pieceTokens;
@@ -279,18 +280,18 @@
         return refusal != nullptr && refusal->ref == submitted.ref;
     });
     if (!isRefused) {
-        noteMessage(flight, hintBytes);
-        tellLoad(flight.router, worker);
-        at(m_now + hop, [this, router = flight.router, attempt = flight.attempt, reply] { m_policy->noteReply(router, attempt, reply, m_now); });
+        recordMessage(pending, hintBytes);
+        sendLoadReport(pending.router, worker);
+        schedule(m_now + hop, [this, router = pending.router, attempt = pending.attempt, reply] { m_policy->recordReply(router, attempt, reply, m_now); });
     }
-    carryOut(worker, actions);
+    execute(worker, actions);
 }
 
-void Bench::carryOut(Worker &worker, const std::vector<Decisions::GateAction> &actions)
+void Bench::execute(Worker &worker, const std::vector<Decisions::GateAction> &actions)
 {
     for (const Decisions::GateAction &action : actions) {
         if (const auto *started = std::get_if<Decisions::StartRun>(&action)) {
-            start(worker, std::stoull(started->ref.request));
+            startRun(worker, std::stoull(started->ref.request));
         } else if (const auto *refused = std::get_if<Decisions::Refuse>(&action)) {
             refuse(worker, *refused);
         }
@@ -298,32 +299,32 @@
     scheduleTick(worker);
 }
 
-void Bench::start(Worker &worker, std::uint64_t id)
+void Bench::startRun(Worker &worker, std::uint64_t id)
 {
-    Flight &flight = m_flights.at(id);
-    flight.isStarted = true;
+    PendingRequest &pending = m_pending.at(id);
+    pending.isStarted = true;
     worker.waiting.erase(id);
-    const FakeRun run = worker.engine.start(flight.request, m_now);
+    const FakeRun run = worker.engine.start(pending.request, m_now);
     std::size_t wasted = 0;
-    for (std::size_t piece = run.cachedPieces; piece < flight.request.keys.size(); ++piece) {
-        wasted += m_computed.insert(flight.request.keys[piece]).second ? 0 : 1;
+    for (std::size_t piece = run.cachedPieces; piece < pending.request.keys.size(); ++piece) {
+        wasted += m_computedPrefixes.insert(pending.request.keys[piece]).second ? 0 : 1;
     }
-    note(flight.request, [&](Figures &figures) { figures.noteRun(flight.request, run.cachedPieces, wasted); });
-    sendCacheEvents(worker, flight, run);
+    record(pending.request, [&](Statistics &figures) { figures.recordRun(pending.request, run.cachedPieces, wasted); });
+    sendCacheEvents(worker, pending, run);
     const std::uint64_t incarnation = worker.incarnation;
-    at(run.firstToken, [this, &worker, id, run, incarnation] {
+    schedule(run.firstToken, [this, &worker, id, run, incarnation] {
         if (worker.incarnation == incarnation) {
-            noteFirstToken(worker, id, run);
+            handleFirstToken(worker, id, run);
         }
     });
-    at(run.end, [this, &worker, id, incarnation] {
+    schedule(run.end, [this, &worker, id, incarnation] {
         if (worker.incarnation == incarnation) {
-            noteEnd(worker, id);
+            handleRunEnd(worker, id);
         }
     });
 }
 
-void Bench::sendCacheEvents(Worker &worker, const Flight &flight, const FakeRun &run)
+void Bench::sendCacheEvents(Worker &worker, const PendingRequest &pending, const FakeRun &run)
 {
     const auto blockOf = [](Decisions::PrefixKey key) {
         return Decisions::BlockId(static_cast<std::uint64_t>(key));
@@ -331,59 +332,60 @@
     Decisions::CacheEvent removed{worker.incarnation, ++worker.cacheEvents, Decisions::CacheEvent::Kind::Removed, {}, {}, 0};
     std::transform(run.evicted.begin(), run.evicted.end(), std::back_inserter(removed.blocks), blockOf);
     Decisions::CacheEvent stored{worker.incarnation, ++worker.cacheEvents, Decisions::CacheEvent::Kind::Stored, {}, {}, 0};
-    stored.request = {requestName(flight.request.id), flight.attempts};
+    stored.request = {requestName(pending.request.id), pending.attempts};
     stored.firstPiece = static_cast<std::uint32_t>(run.cachedPieces);
-    const auto firstNew = flight.request.keys.begin() + static_cast<std::ptrdiff_t>(run.cachedPieces);
-    std::transform(firstNew, flight.request.keys.end(), std::back_inserter(stored.blocks), blockOf);
+    const auto firstNew = pending.request.keys.begin() + static_cast<std::ptrdiff_t>(run.cachedPieces);
+    std::transform(firstNew, pending.request.keys.end(), std::back_inserter(stored.blocks), blockOf);
     for (const Decisions::CacheEvent &event : {removed, stored}) {
-        if (m_random() % cacheEventsToOneLost != 0) {
-            at(run.firstToken + cacheEventDelay, [this, &worker, event] { worker.gate->handleCacheEvent(event, m_now); });
+        if (m_random() % cacheEventsPerLoss != 0) {
+            schedule(run.firstToken + cacheEventDelay, [this, &worker, event] { worker.gate->handleCacheEvent(event, m_now); });
         }
     }
 }
 
-void Bench::noteFirstToken(Worker &worker, std::uint64_t id, const FakeRun &run)
+void Bench::handleFirstToken(Worker &worker, std::uint64_t id, const FakeRun &run)
 {
-    const Flight &flight = m_flights.at(id);
-    note(flight.request, [&](Figures &figures) { figures.noteFirstToken(flight.request, m_now + hop); });
+    const PendingRequest &pending = m_pending.at(id);
+    record(pending.request, [&](Statistics &figures) { figures.recordFirstToken(pending.request, m_now + hop); });
     const auto cachedTokens = static_cast<std::uint32_t>(run.cachedPieces) * Deployment::pieceTokens;
-    carryOut(worker, worker.gate->handleFirstToken({requestName(id), flight.attempts}, cachedTokens, m_now));
+    execute(worker, worker.gate->handleFirstToken({requestName(id), pending.attempts}, cachedTokens, m_now));
     scheduleTick(worker);
 }
 
-void Bench::noteEnd(Worker &worker, std::uint64_t id)
+void Bench::handleRunEnd(Worker &worker, std::uint64_t id)
 {
     worker.engine.finish();
-    const Flight flight = std::move(m_flights.at(id));
-    m_flights.erase(id);
-    note(flight.request, [&](Figures &figures) { figures.noteComplete(flight.request, m_now + hop); });
-    noteMessage(flight, hintBytes);
-    tellLoad(flight.router, worker);
-    worker.gate->recordTokens({requestName(id), flight.attempts}, flight.request.answerTokens, m_now);
-    const Decisions::RunOutcome outcome{Decisions::RunEnd::Complete, {}, {}, flight.request.answerTokens};
-    carryOut(worker, worker.gate->handleRunEnded({requestName(id), flight.attempts}, outcome, m_now));
+    const PendingRequest pending = std::move(m_pending.at(id));
+    m_pending.erase(id);
+    record(pending.request, [&](Statistics &figures) { figures.recordCompletion(pending.request, m_now + hop); });
+    recordMessage(pending, hintBytes);
+    sendLoadReport(pending.router, worker);
+    worker.gate->recordTokens({requestName(id), pending.attempts}, pending.request.answerTokens, m_now);
+    const Decisions::RunOutcome outcome{Decisions::RunEnd::Complete, {}, {}, pending.request.answerTokens};
+    execute(worker, worker.gate->handleRunEnded({requestName(id), pending.attempts}, outcome, m_now));
 }
 
 void Bench::refuse(Worker &worker, const Decisions::Refuse &action)
 {
     const std::uint64_t id = std::stoull(action.ref.request);
     worker.waiting.erase(id);
-    noteMessage(m_flights.at(id), hintBytes);
-    tellLoad(m_flights.at(id).router, worker);
+    recordMessage(m_pending.at(id), hintBytes);
+    sendLoadReport(m_pending.at(id).router, worker);
     const bool isUnavailable = action.reason == Decisions::GateRefusal::Leaving || action.reason == Decisions::GateRefusal::EngineDown;
     const Decisions::RouteRefusal refusal{action.retryAfter, {}, isUnavailable};
     const bool isFinal = action.reason == Decisions::GateRefusal::Overload;
-    at(m_now + hop, [this, id, refusal, isFinal] {
-        m_policy->noteRefusal(m_flights.at(id).router, m_flights.at(id).attempt, refusal, m_now);
-        m_flights.at(id).attempts = isFinal ? maximumAttempts : m_flights.at(id).attempts;
+    schedule(m_now + hop, [this, id, refusal, isFinal] {
+        m_policy->recordRefusal(m_pending.at(id).router, m_pending.at(id).attempt, refusal, m_now);
+        m_pending.at(id).attempts = isFinal ? maximumAttempts : m_pending.at(id).attempts;
         retry(id);
     });
 }
 
-void Bench::tellLoad(std::size_t router, Worker &worker)
+void Bench::sendLoadReport(std::size_t router, Worker &worker)
 {
     const bool isStale = m_options.scenario == "stale" && m_now >= m_eventAt;
-    at(m_now + (isStale ? staleDelay : hop), [this, router, id = worker.id, load = worker.gate->load(m_now)] { m_policy->noteLoad(router, id, load, m_now); });
+    schedule(m_now + (isStale ? staleDelay : hop),
+        [this, router, id = worker.id, load = worker.gate->load(m_now)] { m_policy->updateLoad(router, id, load, m_now); });
 }
 
 void Bench::scheduleTick(Worker &worker)
@@ -393,16 +395,16 @@
         return;
     }
     worker.tickAt = std::max(*next, m_now + 1us);
-    at(worker.tickAt, [this, &worker, when = worker.tickAt] {
-        if (worker.tickAt == when) {
-            carryOut(worker, worker.gate->tick(m_now));
+    schedule(worker.tickAt, [this, &worker, time = worker.tickAt] {
+        if (worker.tickAt == time) {
+            execute(worker, worker.gate->tick(m_now));
         }
     });
 }
 
-void Bench::noteMessage(const Flight &flight, std::size_t bytes)
+void Bench::recordMessage(const PendingRequest &pending, std::size_t bytes)
 {
-    note(flight.request, [bytes](Figures &figures) { figures.noteMessages(1, messageBytes + bytes); });
+    record(pending.request, [bytes](Statistics &figures) { figures.recordMessages(1, messageBytes + bytes); });
 }
 
 void Bench::sampleQueues()
@@ -415,9 +417,9 @@
     now.arrival = m_now;
     const double mean = std::accumulate(waits.begin(), waits.end(), 0.0) / static_cast<double>(waits.size());
     const double largest = *std::max_element(waits.begin(), waits.end());
-    note(now, [&](Figures &figures) { figures.noteQueues(mean, largest); });
+    record(now, [&](Statistics &figures) { figures.recordQueues(mean, largest); });
     if (m_now < m_end) {
-        at(m_now + 100ms, [this] { sampleQueues(); });
+        schedule(m_now + 100ms, [this] { sampleQueues(); });
     }
 }
 
--- a/src/apps/policybench/fakeengine.cpp
+++ b/src/apps/policybench/fakeengine.cpp
@@ -7,7 +7,7 @@
 namespace {
 
 constexpr std::chrono::microseconds promptOverhead{2000};
-constexpr std::chrono::microseconds tokenInterval{12000}; ///< Of an answer that runs alone.
+constexpr std::chrono::microseconds tokenInterval{12000}; ///< Time between tokens of an answer that runs alone.
 constexpr std::size_t batchThatDoublesInterval = 32;
 constexpr std::size_t batchThatHalvesPrefill = 100;
 
@@ -26,7 +26,7 @@
     const auto missing = static_cast<std::int64_t>(request.keys.size() - run.cachedPieces);
     const auto prefill = promptOverhead + missing * m_deployment.prefillPerPiece;
     const auto slowdown = prefill * static_cast<std::int64_t>(m_running) / static_cast<std::int64_t>(batchThatHalvesPrefill);
-    m_prefillEnd = freeAt(now) + prefill + slowdown;
+    m_prefillEnd = prefillFreeAt(now) + prefill + slowdown;
     ++m_running;
     const auto interval = tokenInterval + tokenInterval * static_cast<std::int64_t>(m_running) / static_cast<std::int64_t>(batchThatDoublesInterval);
     run.firstToken = m_prefillEnd;
@@ -39,11 +39,11 @@
     --m_running;
 }
 
-void FakeEngine::crash(Core::TimePoint back)
+void FakeEngine::crash(Core::TimePoint restartAt)
 {
     m_recent.clear();
     m_cached.clear();
-    m_prefillEnd = back;
+    m_prefillEnd = restartAt;
     m_running = 0;
 }
 
@@ -53,12 +53,12 @@
     return static_cast<std::size_t>(missing - keys.begin());
 }
 
-Core::TimePoint FakeEngine::freeAt(Core::TimePoint now) const
+Core::TimePoint FakeEngine::prefillFreeAt(Core::TimePoint now) const
 {
     return std::max(now, m_prefillEnd);
 }
 
-// From deep to shallow, so that the deepest piece of a prompt is the first to go.
+// Touches the pieces from deep to shallow, so that the deepest piece of a prompt is evicted first.
 void FakeEngine::touch(const std::vector<Decisions::PrefixKey> &keys, std::vector<Decisions::PrefixKey> &evicted)
 {
     for (auto key = keys.rbegin(); key != keys.rend(); ++key) {
--- a/src/apps/policybench/fakeengine.h
+++ b/src/apps/policybench/fakeengine.h
@@ -7,7 +7,7 @@
 
 namespace Verbena::PolicyBench {
 
-/// \brief What a run did to an engine, known as soon as it starts since the fake knows its future.
+/// \brief Effects and times of a run. They are computed when the run starts, as the simulated engine is deterministic.
 struct FakeRun
 {
     std::size_t cachedPieces = 0;
@@ -16,30 +16,32 @@
     Core::TimePoint end;
 };
 
-/// \brief An engine's prefix cache and batch in virtual time: prompts one after another, answers side by side.
+/// \brief Simulated engine in virtual time with a prefix cache and a batch. Prompts are prefilled one after another, answers are decoded concurrently.
 class FakeEngine
 {
 public:
     explicit FakeEngine(const Deployment &deployment);
 
+    /// \brief Starts a run of \a request.
     FakeRun start(const Request &request, Core::TimePoint now);
 
-    /// \brief A run that was started is over.
+    /// \brief Records that a run has ended.
     void finish();
 
-    /// \brief Comes back empty.
-    void crash(Core::TimePoint back);
+    /// \brief Loses all runs and the cache. The engine is available again at \a restartAt.
+    void crash(Core::TimePoint restartAt);
 
+    /// \brief Returns how many of the leading pieces of \a keys are cached.
     std::size_t cachedPieces(const std::vector<Decisions::PrefixKey> &keys) const;
 
-    /// \brief When a prompt that is started now would begin.
-    Core::TimePoint freeAt(Core::TimePoint now) const;
+    /// \brief Returns the time at which the prefill of a request started at \a now would begin.
+    Core::TimePoint prefillFreeAt(Core::TimePoint now) const;
 
 private:
     void touch(const std::vector<Decisions::PrefixKey> &keys, std::vector<Decisions::PrefixKey> &evicted);
 
     const Deployment &m_deployment;
-    std::list<Decisions::PrefixKey> m_recent; ///< Most recently used first.
+    std::list<Decisions::PrefixKey> m_recent; ///< Cached pieces, the most recently used first.
     std::unordered_map<Decisions::PrefixKey, std::list<Decisions::PrefixKey>::iterator> m_cached;
     Core::TimePoint m_prefillEnd;
     std::size_t m_running = 0;
--- a/src/apps/policybench/main.cpp
+++ b/src/apps/policybench/main.cpp
@@ -33,7 +33,7 @@
 {
     using namespace Verbena::PolicyBench;
     try {
-        TCLAP::CmdLine line("Measures routing policies in virtual time: the decision objects against a seeded fake engine.", ' ', VERBENA_VERSION);
+        TCLAP::CmdLine line("Simulates routing policies in virtual time with the real decision objects and a simulated engine.", ' ', VERBENA_VERSION);
         std::vector<std::string> deployments{"kessick", "kalari"};
         std::vector<std::string> scenarios{"steady", "hotshift", "crash", "herd", "overload", "leaving", "stale"};
         std::vector<std::string> policies = Policy::names();
@@ -41,14 +41,15 @@
         TCLAP::ValuesConstraint<std::string> deploymentNames(deployments);
         TCLAP::ValuesConstraint<std::string> scenarioNames(scenarios);
         TCLAP::ValuesConstraint<std::string> policyNames(policies);
-        TCLAP::ValueArg<std::string> deployment("", "deployment", "Sizes of prompts, and what counts most.", false, "kessick", &deploymentNames, line);
-        TCLAP::ValueArg<std::string> scenario("", "scenario", "What happens.", false, "steady", &scenarioNames, line);
-        TCLAP::ValueArg<std::size_t> workers("", "workers", "Backend servers.", false, 20, "count", line);
-        TCLAP::ValueArg<std::size_t> routers("", "routers", "Routers.", false, 3, "count", line);
-        TCLAP::ValueArg<double> load("", "load", "Of the nominal capacity.", false, 0.7, "part", line);
-        TCLAP::ValueArg<std::uint64_t> seed("", "seed", "Of the workload and of the routers.", false, 1, "number", line);
+        TCLAP::ValueArg<std::string> deployment(
+            "", "deployment", "Deployment that sets the prompt sizes and the main optimisation target.", false, "kessick", &deploymentNames, line);
+        TCLAP::ValueArg<std::string> scenario("", "scenario", "Event that occurs during the run.", false, "steady", &scenarioNames, line);
+        TCLAP::ValueArg<std::size_t> workers("", "workers", "Number of backend servers.", false, 20, "count", line);
+        TCLAP::ValueArg<std::size_t> routers("", "routers", "Number of routers.", false, 3, "count", line);
+        TCLAP::ValueArg<double> load("", "load", "Arrival rate as a fraction of the nominal capacity.", false, 0.7, "part", line);
+        TCLAP::ValueArg<std::uint64_t> seed("", "seed", "Random seed of the workload and of the routers.", false, 1, "number", line);
         TCLAP::ValueArg<std::string> policy("", "policy", "Policy to run.", false, "all", &policyNames, line);
-        TCLAP::SwitchArg json("", "json", "Print JSON in place of a table.", line);
+        TCLAP::SwitchArg json("", "json", "Print JSON instead of a table.", line);
         line.parse(argc, argv);
         BenchOptions options;
         options.deployment = deployment.getValue();
--- a/src/apps/policybench/policy.cpp
+++ b/src/apps/policybench/policy.cpp
@@ -13,16 +13,16 @@
 
 namespace {
 
-constexpr double oracleMissWeight = 9; ///< A good one of six tried from 2 to 33.
-constexpr std::size_t largestOracle = 200; ///< Backend servers; it looks at all of them for each request.
+constexpr double oracleMissWeight = 9; ///< Weight of recomputation relative to waiting.
+constexpr std::size_t maximumOracleServers = 200; ///< Maximum number of backend servers, as the oracle evaluates all of them for each request.
 
-bool isIn(const std::vector<BackendServerId> &ids, BackendServerId id)
+bool contains(const std::vector<BackendServerId> &ids, BackendServerId id)
 {
     return std::find(ids.begin(), ids.end(), id) != ids.end();
 }
 
-// What the plain policies share: a list of live backend servers.
-class PlainPolicy : public Policy
+// Base class of the simple policies. Keeps the list of live backend servers.
+class BasicPolicy : public Policy
 {
 public:
     void setFleet(const std::vector<BackendServer> &fleet) override
@@ -36,12 +36,12 @@
     }
 
 protected:
-    // The first from \a start on that is not excluded.
+    // Returns the first backend server from index \a start on that is not excluded.
     std::optional<BackendServerId> firstFrom(std::size_t start, const RouteQuery &query) const
     {
         for (std::size_t i = 0; i < m_live.size(); ++i) {
             const BackendServerId id = m_live[(start + i) % m_live.size()];
-            if (!isIn(query.excluded, id)) {
+            if (!contains(query.excluded, id)) {
                 return id;
             }
         }
@@ -51,7 +51,7 @@
     std::vector<BackendServerId> m_live;
 };
 
-class RoundRobin : public PlainPolicy
+class RoundRobin : public BasicPolicy
 {
 public:
     std::optional<BackendServerId> choose(std::size_t router, const RouteQuery &query, const RouteDecision &, Core::TimePoint) override
@@ -63,8 +63,8 @@
     std::map<std::size_t, std::size_t> m_nexts;
 };
 
-// Hashes the first pieces of the prompt, as many as the two upper levels have.
-class PrefixHash : public PlainPolicy
+// Chooses by the hash of the first pieces of the prompt, as many as the two upper levels have.
+class PrefixHash : public BasicPolicy
 {
 public:
     explicit PrefixHash(std::size_t pieces)
@@ -81,20 +81,20 @@
     std::size_t m_pieces;
 };
 
-// The thin path's: the home of the whole prompt, whatever its load.
-class FirstVersion : public PlainPolicy
+// Chooses the home of the complete prompt, independent of its load.
+class HomeServer : public BasicPolicy
 {
 public:
     void setFleet(const std::vector<BackendServer> &fleet) override
     {
-        PlainPolicy::setFleet(fleet);
+        BasicPolicy::setFleet(fleet);
         m_placement = Decisions::Placement(m_live);
     }
 
     std::optional<BackendServerId> choose(std::size_t, const RouteQuery &query, const RouteDecision &, Core::TimePoint) override
     {
         for (const BackendServerId id : m_placement.ranks(query.keys.back(), query.excluded.size() + 1)) {
-            if (!isIn(query.excluded, id)) {
+            if (!contains(query.excluded, id)) {
                 return id;
             }
         }
@@ -105,8 +105,8 @@
     Decisions::Placement m_placement;
 };
 
-// The least wait by the same hints that our own policy gets.
-class LeastLoaded : public PlainPolicy
+// Chooses the least expected wait, based on the same load hints as ProductPolicy.
+class LeastLoaded : public BasicPolicy
 {
 public:
     LeastLoaded(std::size_t routers, microseconds work)
@@ -122,7 +122,7 @@
         for (std::size_t i = 0; i < m_live.size(); ++i) {
             const BackendServerId id = m_live[(start + i) % m_live.size()];
             const bool isBetter = !best.has_value() || m_loads[router].wait(id, now) < m_loads[router].wait(*best, now);
-            if (isBetter && !isIn(query.excluded, id)) {
+            if (isBetter && !contains(query.excluded, id)) {
                 best = id;
             }
         }
@@ -134,22 +134,22 @@
         return m_work;
     }
 
-    void noteDispatched(std::size_t router, const Attempt &attempt, Core::TimePoint) override
+    void recordDispatch(std::size_t router, const Attempt &attempt, Core::TimePoint) override
     {
         m_loads[router].noteSent(attempt.server, attempt.work);
     }
 
-    void noteReply(std::size_t router, const Attempt &attempt, const Reply &, Core::TimePoint) override
+    void recordReply(std::size_t router, const Attempt &attempt, const Reply &, Core::TimePoint) override
     {
         m_loads[router].noteAnswered(attempt.server, attempt.work);
     }
 
-    void noteRefusal(std::size_t router, const Attempt &attempt, const Decisions::RouteRefusal &, Core::TimePoint) override
+    void recordRefusal(std::size_t router, const Attempt &attempt, const Decisions::RouteRefusal &, Core::TimePoint) override
     {
         m_loads[router].noteAnswered(attempt.server, attempt.work);
     }
 
-    void noteLoad(std::size_t router, BackendServerId server, const Decisions::LoadReport &report, Core::TimePoint now) override
+    void updateLoad(std::size_t router, BackendServerId server, const Decisions::LoadReport &report, Core::TimePoint now) override
     {
         m_loads[router].noteReport(server, report, now);
     }
@@ -163,25 +163,25 @@
 Decisions::RoutingOptions optionsOf(const BenchOptions &options, std::size_t router)
 {
     Decisions::RoutingOptions result;
-    const bool isTailTimeFirst = Deployment::named(options.deployment).isTailTimeFirst;
-    result.weights = isTailTimeFirst ? Decisions::RoutingWeights::forTailTime() : Decisions::RoutingWeights::forRecomputation();
+    const bool isTailLatencyFirst = Deployment::named(options.deployment).isTailLatencyFirst;
+    result.weights = isTailLatencyFirst ? Decisions::RoutingWeights::forTailTime() : Decisions::RoutingWeights::forRecomputation();
     result.seed = options.seed * 1000 + router;
     return result;
 }
 
-// What the own policy can be run without.
+// Variants of ProductPolicy with a part disabled.
 enum class Variant {
-    Whole,
-    Unprobed, ///< Candidates are not asked.
+    Complete,
+    Unprobed, ///< Candidates are not probed.
     Unmarked, ///< All requests have the same mark.
-    Uniform, ///< Marks are drawn, whoever asks.
+    Uniform, ///< Marks are random and independent of the organisation.
 };
 
-// The product's own: a RouteChooser for each router.
-class Own : public Policy
+// Policy of the product: a RouteChooser for each router.
+class ProductPolicy : public Policy
 {
 public:
-    Own(const BenchOptions &options, Variant variant)
+    ProductPolicy(const BenchOptions &options, Variant variant)
         : m_options(options)
         , m_variant(variant)
         , m_isProbing(variant != Variant::Unprobed)
@@ -217,7 +217,7 @@
         if (m_variant == Variant::Unmarked) {
             return 0;
         }
-        // One flow that has the whole share gets marks that are drawn evenly.
+        // A single flow with the full share gets uniformly distributed marks.
         const std::string flow = m_variant == Variant::Uniform ? "all" : organisation;
         Decisions::EntryMarker &marker = m_markers[router];
         if (m_variant == Variant::Uniform) {
@@ -227,7 +227,7 @@
         return marker.mark(flow, now);
     }
 
-    RouteDecision probes(std::size_t router, const RouteQuery &query, Core::TimePoint now) const override
+    RouteDecision chooseProbes(std::size_t router, const RouteQuery &query, Core::TimePoint now) const override
     {
         return m_isProbing ? m_choosers[router].choose(query, now) : RouteDecision();
     }
@@ -242,30 +242,30 @@
         return m_choosers[router].expectedPrefill(server, query, now);
     }
 
-    void noteDispatched(std::size_t router, const Attempt &attempt, Core::TimePoint now) override
+    void recordDispatch(std::size_t router, const Attempt &attempt, Core::TimePoint now) override
     {
         m_choosers[router].noteDispatched(attempt.server, attempt.query, attempt.work, now);
     }
 
-    void noteProbe(std::size_t router, BackendServerId server, const RouteQuery &query, const ProbeReply &reply, Core::TimePoint now) override
+    void recordProbe(std::size_t router, BackendServerId server, const RouteQuery &query, const ProbeReply &reply, Core::TimePoint now) override
     {
         m_choosers[router].noteProbe(server, query, reply.warmPieces, reply.load, now);
     }
 
-    void noteReply(std::size_t router, const Attempt &attempt, const Reply &reply, Core::TimePoint now) override
+    void recordReply(std::size_t router, const Attempt &attempt, const Reply &reply, Core::TimePoint now) override
     {
         m_choosers[router].noteReply(attempt.server, attempt.query, reply.warmPieces, attempt.work, now);
-        if (reply.heat.has_value()) {
-            m_choosers[router].noteHeat(reply.heat->key, reply.heat->width, now + std::chrono::seconds(3));
+        if (reply.hotPrefix.has_value()) {
+            m_choosers[router].noteHeat(reply.hotPrefix->key, reply.hotPrefix->width, now + std::chrono::seconds(3));
         }
     }
 
-    void noteRefusal(std::size_t router, const Attempt &attempt, const Decisions::RouteRefusal &refusal, Core::TimePoint now) override
+    void recordRefusal(std::size_t router, const Attempt &attempt, const Decisions::RouteRefusal &refusal, Core::TimePoint now) override
     {
         m_choosers[router].noteRefusal(attempt.server, attempt.query, refusal, attempt.work, now);
     }
 
-    void noteLoad(std::size_t router, BackendServerId server, const Decisions::LoadReport &report, Core::TimePoint now) override
+    void updateLoad(std::size_t router, BackendServerId server, const Decisions::LoadReport &report, Core::TimePoint now) override
     {
         m_choosers[router].noteLoad(server, report, now);
     }
@@ -279,8 +279,8 @@
     std::vector<Decisions::EntryMarker> m_markers;
 };
 
-// Sees every cache and queue as they are; the bound, since no router can.
-class Oracle : public PlainPolicy
+// Uses the actual state of all caches and queues. It is a bound for other policies, as no router has this data.
+class Oracle : public BasicPolicy
 {
 public:
     Oracle(const BenchOptions &options, const std::vector<Worker> &workers)
@@ -294,7 +294,7 @@
         const Worker *best = nullptr;
         double bestScore = 0;
         for (const Worker &worker : m_workers) {
-            if (!isIn(m_live, worker.id) || isIn(query.excluded, worker.id) || worker.gate->isLeaving()) {
+            if (!contains(m_live, worker.id) || contains(query.excluded, worker.id) || worker.gate->isLeaving()) {
                 continue;
             }
             const double score = scoreOf(worker, query, now);
@@ -338,21 +338,21 @@
         return std::make_unique<PrefixHash>(deployment.levelPieces[0] + deployment.levelPieces[1]);
     }
     if (name == "v1") {
-        return std::make_unique<FirstVersion>();
+        return std::make_unique<HomeServer>();
     }
     if (name == "own") {
-        return std::make_unique<Own>(options, Variant::Whole);
+        return std::make_unique<ProductPolicy>(options, Variant::Complete);
     }
     if (name == "own-unprobed") {
-        return std::make_unique<Own>(options, Variant::Unprobed);
+        return std::make_unique<ProductPolicy>(options, Variant::Unprobed);
     }
     if (name == "own-unmarked") {
-        return std::make_unique<Own>(options, Variant::Unmarked);
+        return std::make_unique<ProductPolicy>(options, Variant::Unmarked);
     }
     if (name == "own-uniform") {
-        return std::make_unique<Own>(options, Variant::Uniform);
+        return std::make_unique<ProductPolicy>(options, Variant::Uniform);
     }
-    if (name == "oracle" && options.workers <= largestOracle) {
+    if (name == "oracle" && options.workers <= maximumOracleServers) {
         return std::make_unique<Oracle>(options, workers);
     }
     return nullptr;
@@ -370,7 +370,7 @@
     return 0;
 }
 
-RouteDecision Policy::probes(std::size_t, const RouteQuery &, Core::TimePoint) const
+RouteDecision Policy::chooseProbes(std::size_t, const RouteQuery &, Core::TimePoint) const
 {
     return {};
 }
@@ -384,23 +384,23 @@
 {
 }
 
-void Policy::noteDispatched(std::size_t, const Attempt &, Core::TimePoint)
+void Policy::recordDispatch(std::size_t, const Attempt &, Core::TimePoint)
 {
 }
 
-void Policy::noteProbe(std::size_t, BackendServerId, const RouteQuery &, const ProbeReply &, Core::TimePoint)
+void Policy::recordProbe(std::size_t, BackendServerId, const RouteQuery &, const ProbeReply &, Core::TimePoint)
 {
 }
 
-void Policy::noteReply(std::size_t, const Attempt &, const Reply &, Core::TimePoint)
+void Policy::recordReply(std::size_t, const Attempt &, const Reply &, Core::TimePoint)
 {
 }
 
-void Policy::noteRefusal(std::size_t, const Attempt &, const Decisions::RouteRefusal &, Core::TimePoint)
+void Policy::recordRefusal(std::size_t, const Attempt &, const Decisions::RouteRefusal &, Core::TimePoint)
 {
 }
 
-void Policy::noteLoad(std::size_t, BackendServerId, const Decisions::LoadReport &, Core::TimePoint)
+void Policy::updateLoad(std::size_t, BackendServerId, const Decisions::LoadReport &, Core::TimePoint)
 {
 }
 
--- a/src/apps/policybench/statistics.h
+++ b/src/apps/policybench/statistics.h
@@ -8,30 +8,33 @@
 
 namespace Verbena::PolicyBench {
 
-/// \brief What the requests that arrived within one span of time came to.
-class Figures
+/// \brief Statistics of the requests that arrived within one period.
+class Statistics
 {
 public:
-    void noteArrival(const Request &request);
-    void noteRun(const Request &request, std::size_t cachedPieces, std::size_t wastedPieces);
-    void noteFirstToken(const Request &request, Core::TimePoint now);
-    void noteComplete(const Request &request, Core::TimePoint now);
-    void noteNotRun();
-    void noteMessages(std::size_t messages, std::size_t controlBytes);
-    void noteQueues(double meanSeconds, double largestSeconds);
-
-    /// \brief The figures of \a span on \a workers with a nominal \a capacity in requests per second.
-    nlohmann::ordered_json toJson(std::chrono::duration<double> span, std::size_t workers, double capacity) const;
+    /// \brief Records that \a request arrived.
+    void recordArrival(const Request &request);
+    /// \brief Records a run with \a cachedPieces cached pieces that recomputes \a wastedPieces pieces.
+    void recordRun(const Request &request, std::size_t cachedPieces, std::size_t wastedPieces);
+    void recordFirstToken(const Request &request, Core::TimePoint now);
+    void recordCompletion(const Request &request, Core::TimePoint now);
+    void recordNotRun();
+    void recordMessages(std::size_t messages, std::size_t controlBytes);
+    /// \brief Records a sample of the queues' mean and maximum lengths, in seconds of work.
+    void recordQueues(double meanSeconds, double largestSeconds);
+
+    /// \brief Returns the statistics of a period \a duration on \a workers backend servers with a nominal \a capacity in requests per second.
+    nlohmann::ordered_json toJson(std::chrono::duration<double> duration, std::size_t workers, double capacity) const;
 
 private:
-    struct OfOrganisation
+    struct OrganisationStatistics
     {
         std::size_t arrived = 0;
-        std::size_t inTime = 0;
-        std::vector<double> firstTokens; ///< Milliseconds after arrival.
+        std::size_t completedInTime = 0;
+        std::vector<double> firstTokens; ///< Times to the first token, in milliseconds after arrival.
     };
 
-    std::vector<OfOrganisation> m_organisations{Workload::shares().size()};
+    std::vector<OrganisationStatistics> m_organisations{Workload::shares().size()};
     std::vector<double> m_firstTokens;
     std::size_t m_arrived = 0;
     std::size_t m_runs = 0;
@@ -42,7 +45,7 @@
     std::size_t m_notRun = 0;
     std::size_t m_messages = 0;
     std::size_t m_controlBytes = 0;
-    std::vector<double> m_queueMeans; ///< Seconds of work.
+    std::vector<double> m_queueMeans; ///< Mean queue lengths, in seconds of work.
     double m_largestQueue = 0;
 };
 
--- a/src/apps/policybench/workload.cpp
+++ b/src/apps/policybench/workload.cpp
@@ -7,14 +7,14 @@
 
 namespace {
 
-constexpr double nominalMisses = 0.1;
+constexpr double nominalMissFraction = 0.1;
 constexpr double zipfExponent = 0.9;
-constexpr double hotPart = 0.3;
+constexpr double hotFraction = 0.3;
 constexpr std::size_t hotOrganisation = 2;
 constexpr double floodFactor = 10;
 constexpr double modestFactor = 0.7;
 
-std::vector<double> cumulated(std::vector<double> weights)
+std::vector<double> cumulativeWeights(std::vector<double> weights)
 {
     double sum = 0;
     for (double &weight : weights) {
@@ -33,10 +33,10 @@
     for (std::size_t i = 0; i < count; ++i) {
         weights[i] = 1 / std::pow(static_cast<double>(i + 1), zipfExponent);
     }
-    return cumulated(weights);
+    return cumulativeWeights(weights);
 }
 
-// The flood and the modest organisation ask what the scenario says, the others share what is left of the load.
+// The flooding and the modest organisation have the demand of the scenario; the others share the remaining load.
 std::vector<double> overloadDemand(double load)
 {
     std::vector<double> demand = Workload::shares();
@@ -73,7 +73,7 @@
 
 double Deployment::capacity(std::size_t workers) const
 {
-    const double missing = static_cast<double>(tailPieces) + nominalMisses * static_cast<double>(promptPieces() - tailPieces);
+    const double missing = static_cast<double>(tailPieces) + nominalMissFraction * static_cast<double>(promptPieces() - tailPieces);
     return static_cast<double>(workers) / (missing * std::chrono::duration<double>(prefillPerPiece).count());
 }
 
@@ -81,9 +81,9 @@
     : m_deployment(deployment)
     , m_random(options.seed)
     , m_rate(options.load * deployment.capacity(options.workers))
-    , m_organisations(cumulated(options.scenario == "overload" ? overloadDemand(options.load) : shares()))
+    , m_organisations(cumulativeWeights(options.scenario == "overload" ? overloadDemand(options.load) : shares()))
 {
-    // A larger fleet serves more sites, not hotter ones.
+    // A larger fleet serves more sites, not more popular ones.
     const std::size_t scale = std::max<std::size_t>(1, options.workers / 20);
     for (std::size_t level = 0; level < deployment.levelChoices.size(); ++level) {
         m_levels.push_back(zipf(deployment.levelChoices[level] * (level == 1 ? scale : 1)));
@@ -96,14 +96,14 @@
     request.id = ++m_lastId;
     request.arrival = last + std::chrono::nanoseconds(static_cast<std::int64_t>(-std::log(1 - uniform()) / m_rate * 1e9));
     request.deadline = request.arrival + m_deployment.deadline;
-    request.organisation = drawFrom(m_organisations);
+    request.organisation = sample(m_organisations);
     request.answerTokens = static_cast<std::uint32_t>((0.5 + uniform()) * m_deployment.answerTokens);
-    const bool isHot = m_isShifted && uniform() < hotPart;
+    const bool isHot = m_isShifted && uniform() < hotFraction;
     request.organisation = isHot ? hotOrganisation : request.organisation;
     std::vector<std::uint32_t> pieces;
     for (std::size_t level = 0; level < m_levels.size(); ++level) {
         const bool isPinned = isHot && level < 2;
-        const std::size_t choice = isPinned ? m_levels[level].size() - 1 : drawFrom(m_levels[level]);
+        const std::size_t choice = isPinned ? m_levels[level].size() - 1 : sample(m_levels[level]);
         for (std::size_t piece = 0; piece < m_deployment.levelPieces[level]; ++piece) {
             pieces.push_back(static_cast<std::uint32_t>(choice * 64 + piece));
         }
@@ -117,7 +117,7 @@
     return request;
 }
 
-void Workload::shiftHeat()
+void Workload::shiftHotPrefix()
 {
     m_isShifted = true;
 }
@@ -138,7 +138,7 @@
     return static_cast<double>(m_random() >> 11) * 0x1p-53;
 }
 
-std::size_t Workload::drawFrom(const std::vector<double> &cumulative)
+std::size_t Workload::sample(const std::vector<double> &cumulative)
 {
     const auto found = std::upper_bound(cumulative.begin(), cumulative.end(), uniform());
     return std::min<std::size_t>(static_cast<std::size_t>(found - cumulative.begin()), cumulative.size() - 1);
