--- a/src/libs/relay/crashcontrol.h
+++ b/src/libs/relay/crashcontrol.h
@@ -46,7 +46,7 @@
     /// \brief Asks for a trial of \a request. Returns a number for withdraw(), or 0 if \a done has already been called.
     virtual std::uint64_t claimTrial(const Decisions::RequestIdentity &request, TrialCallback done) = 0;
 
-    /// \brief Returns a granted trial of \a request that reached no backend server.
+    /// \brief Releases a granted trial of \a request that reached no backend server.
     virtual void releaseTrial(const Decisions::RequestIdentity &request) = 0;
 
     /// \brief Checks whether the backend server of \a call has ended and records a crash if so; calls \a done when this is known or cannot be determined soon.
--- a/src/libs/relay/relayedrequest.cpp
+++ b/src/libs/relay/relayedrequest.cpp
@@ -405,7 +405,7 @@
     }
     closeCall(failure);
     const LostCall call{{}, m_query.attemptId, organisationName(), m_choice->serverId, m_choice->incarnation, m_choice->address};
-    if (mayBeSentAgainInTime(failure)) {
+    if (mayResendInTime(failure)) {
         m_crashes.handleLostCall(call, [this, failure, text = std::string(reason)] { decide(failure, text); });
     } else {
         m_crashes.handleLostCall(call, [] {});
@@ -469,7 +469,7 @@
     });
 }
 
-bool RelayedRequest::mayBeSentAgainInTime(CallFailure failure) const
+bool RelayedRequest::mayResendInTime(CallFailure failure) const
 {
     return mayResend(m_attempts, failure) && m_context.loop.now() + minimumResendTime < m_deadline;
 }
@@ -477,7 +477,7 @@
 AttemptAction RelayedRequest::chooseAction(CallFailure failure)
 {
     const Core::TimePoint now = m_context.loop.now();
-    if (!mayBeSentAgainInTime(failure)) {
+    if (!mayResendInTime(failure)) {
         return actionWithoutResend(m_attempts, failure);
     }
     if (m_crashes.isTrialRequired(m_arrivals)) {
--- a/src/libs/relay/relayedrequest.h
+++ b/src/libs/relay/relayedrequest.h
@@ -94,7 +94,7 @@
     void handleFailure(Decisions::CallFailure failure, std::string_view reason);
     void closeCall(Decisions::CallFailure failure);
     void decide(Decisions::CallFailure failure, std::string_view reason);
-    bool mayBeSentAgainInTime(Decisions::CallFailure failure) const;
+    bool mayResendInTime(Decisions::CallFailure failure) const;
     void proceed(Decisions::CallFailure failure, Decisions::AttemptAction action);
     void awaitTrial(Decisions::CallFailure failure);
     void recordBarred(const char *outcome);
--- a/src/libs/relay/relaytask.h
+++ b/src/libs/relay/relaytask.h
@@ -90,7 +90,7 @@
     /// \brief Sets the function that returns the maximum age of the current configuration, for the report of each request.
     void setConfigurationAge(std::function<std::optional<std::chrono::milliseconds>()> age);
 
-    /// \brief Returns whether new callers are accepted.
+    /// \brief Returns whether the load balancer should send new callers to this router.
     bool isReady() const;
 
     /// \brief Returns the address that the relay listens at.
--- a/src/libs/relay/usageclient.h
+++ b/src/libs/relay/usageclient.h
@@ -60,7 +60,7 @@
     std::uint64_t m_agentsRevision = 0;
     std::uint64_t m_lastNumber = 0;
     std::map<std::uint64_t, PendingClaim> m_pendingClaims; ///< By number, so in the order in which they were sent.
-    std::map<std::string, Core::TimePoint> m_silentSince; ///< Owners that left a claim unanswered, by address of their engine, with the time since when.
+    std::map<std::string, Core::TimePoint> m_silentSince; ///< Time since which an owner has not answered, by address of its engine.
     EventLoop::Timer m_timer;
     Core::TimePoint m_nextCheckTime{};
     std::unique_ptr<Wire::DatagramSocket> m_socket;
