--- a/src/libs/relay/crashguard.cpp
+++ b/src/libs/relay/crashguard.cpp
@@ -240,7 +240,7 @@
 
 void CrashGuard::changeRows(const std::string &table, const Store::RowPage &page)
 {
-    m_mirror.change(table, page);
+    m_mirror.applyChanges(table, page);
     for (const TableRow &row : page.rows) {
         takeRow(row, "store");
     }
@@ -298,7 +298,7 @@
     m_report.verified(table, verifiedAt, coveredRevision);
 }
 
-void CrashGuard::answerRefused(const std::string &table, const Store::RefusedAnswer &answer)
+void CrashGuard::staleAnswerReceived(const std::string &table, const Store::StaleAnswer &answer)
 {
     m_report.refused(table, answer);
 }
--- a/src/libs/relay/crashguard.h
+++ b/src/libs/relay/crashguard.h
@@ -70,7 +70,7 @@
     void sourceLost(const std::string &table, const Core::Error &error) override;
     void sourceRegained(const std::string &table) override;
     void tableVerified(const std::string &table, Store::StoreTime verifiedAt, std::uint64_t coveredRevision) override;
-    void answerRefused(const std::string &table, const Store::RefusedAnswer &answer) override;
+    void staleAnswerReceived(const std::string &table, const Store::StaleAnswer &answer) override;
     void takeRow(const Store::TableRow &row, const char *toldBy);
     void takeRecord(const Decisions::CrashRecord &record, bool isDeleted, const char *toldBy);
     void record(const LostCall &call, const char *proof);
--- a/src/libs/relay/deploymentfeed.cpp
+++ b/src/libs/relay/deploymentfeed.cpp
@@ -58,7 +58,7 @@
 void DeploymentFeed::showAges(AgeWatch &watch)
 {
     watch.watch(
-        m_declarationsTable, [this] { return m_declarations.age(); }, [this] { m_declarations.askBeside(); });
+        m_declarationsTable, [this] { return m_declarations.age(); }, [this] { m_declarations.pollNow(); });
     watch.watch(m_serversTable, [this] { return m_servers.age(); });
 }
 
@@ -80,7 +80,7 @@
 
 void DeploymentFeed::changeRows(const std::string &table, const Store::RowPage &page)
 {
-    m_mirror.change(table, page);
+    m_mirror.applyChanges(table, page);
     if (table == m_serversTable) {
         m_servers.setPause(m_relay.registerPause());
     }
@@ -201,7 +201,7 @@
     m_report.verified(table, verifiedAt, coveredRevision);
 }
 
-void DeploymentFeed::answerRefused(const std::string &table, const Store::RefusedAnswer &answer)
+void DeploymentFeed::staleAnswerReceived(const std::string &table, const Store::StaleAnswer &answer)
 {
     m_report.refused(table, answer);
 }
--- a/src/libs/relay/deploymentfeed.h
+++ b/src/libs/relay/deploymentfeed.h
@@ -50,7 +50,7 @@
     void sourceLost(const std::string &table, const Core::Error &error) override;
     void sourceRegained(const std::string &table) override;
     void tableVerified(const std::string &table, Store::StoreTime verifiedAt, std::uint64_t coveredRevision) override;
-    void answerRefused(const std::string &table, const Store::RefusedAnswer &answer) override;
+    void staleAnswerReceived(const std::string &table, const Store::StaleAnswer &answer) override;
     void takeRows(const std::string &table, const Store::RowPage &page, const std::string &how);
     void takeRow(const std::string &table, const Store::TableRow &row, const std::string &how);
     void noteClock(const Store::RowPage &page);
--- a/src/libs/relay/feedreport.cpp
+++ b/src/libs/relay/feedreport.cpp
@@ -24,10 +24,10 @@
 void FeedReport::verified(const std::string &table, Store::StoreTime verifiedAt, std::uint64_t coveredRevision)
 {
     m_isRefusing = false;
-    m_mirror.noteVerified(table, verifiedAt, coveredRevision);
+    m_mirror.setVerified(table, verifiedAt, coveredRevision);
 }
 
-void FeedReport::refused(const std::string &table, const Store::RefusedAnswer &answer)
+void FeedReport::refused(const std::string &table, const Store::StaleAnswer &answer)
 {
     if (m_isRefusing) {
         return;
@@ -37,7 +37,7 @@
         {{"table", table},
             {"revision", std::to_string(answer.revision)},
             {"known", std::to_string(answer.knownRevision)},
-            {"said_ms", answer.saidAgo.has_value() ? std::to_string(answer.saidAgo->count()) : ""}});
+            {"said_ms", answer.answerAge.has_value() ? std::to_string(answer.answerAge->count()) : ""}});
 }
 
 } // namespace Verbena::Relay
--- a/src/libs/relay/feedreport.h
+++ b/src/libs/relay/feedreport.h
@@ -19,7 +19,7 @@
     void verified(const std::string &table, Store::StoreTime verifiedAt, std::uint64_t coveredRevision);
 
     /// \brief Logs the first of several refused answers in a row.
-    void refused(const std::string &table, const Store::RefusedAnswer &answer);
+    void refused(const std::string &table, const Store::StaleAnswer &answer);
 
 private:
     Store::RowMirror &m_mirror;
--- a/src/libs/relay/peerrows.cpp
+++ b/src/libs/relay/peerrows.cpp
@@ -55,7 +55,7 @@
     }
     Store::RowPage page;
     page.revision = push.covered_revision();
-    page.isSecondHand = true;
+    page.isFromPeer = true;
     page.verifiedAt = decodeStoreTime(push.verified_at_ms());
     if (const std::optional<Store::StoreTime> storeNow = decodeStoreTime(push.store_now_ms())) {
         page.clock = Store::StoreReading{*storeNow, askedAt};
@@ -121,7 +121,7 @@
     const std::uint64_t after = std::strtoull(exchange->queryArgument("after").value_or("0").c_str(), nullptr, 10);
     const std::optional<std::string> wait = exchange->queryArgument("wait");
     if (!wait.has_value()) {
-        const Store::RowPage page = m_mirror.since(table, after);
+        const Store::RowPage page = m_mirror.changesSince(table, after);
         exchange->respond(page.isHistoryLost ? statusGone : statusOk, {{"Content-Type", "application/x-protobuf"}}, encode(page, after, {}, storeNow()));
         return;
     }
@@ -152,11 +152,11 @@
 {
     const Core::TimePoint now = m_loop.now();
     const std::optional<std::chrono::milliseconds> known = age(waiting.table);
-    if (!known.has_value() || *known > m_times.sharedAge) {
+    if (!known.has_value() || *known > m_times.sharedMaximumAge) {
         waiting.exchange->respond(statusBusy, {}, "");
         return true;
     }
-    const Store::RowPage page = m_mirror.since(waiting.table, waiting.after);
+    const Store::RowPage page = m_mirror.changesSince(waiting.table, waiting.after);
     if (page.isHistoryLost) {
         waiting.exchange->respond(statusGone, {}, "");
         return true;
@@ -180,9 +180,9 @@
 Store::RowSource::PageCallback PeerRows::hearing(PageCallback done)
 {
     return [this, askedAt = Core::BootClock::now(), done = std::move(done)](Core::Result<Store::RowPage> page) {
-        if (page && page.value().saidAt.has_value()) {
-            page.value().clock = Store::StoreReading{*page.value().saidAt, askedAt};
-            m_storeClock.note(*page.value().clock);
+        if (page && page.value().answeredAt.has_value()) {
+            page.value().clock = Store::StoreReading{*page.value().answeredAt, askedAt};
+            m_storeClock.addReading(*page.value().clock);
         }
         done(std::move(page));
     };
@@ -205,7 +205,7 @@
         }
         auto page = decode(reply.value().body, peer, askedAt);
         if (page && page.value().clock.has_value()) {
-            m_storeClock.note(*page.value().clock);
+            m_storeClock.addReading(*page.value().clock);
         }
         if (page && page.value().revision < revision) {
             done(unknowing);
@@ -226,11 +226,11 @@
             return;
         }
         if (page) {
-            page.value().isSecondHand = false;
+            page.value().isFromPeer = false;
         }
         done(std::move(page));
     };
-    call(peer, question, revision, waitEnd + m_times.peerAnswer, take);
+    call(peer, question, revision, waitEnd + m_times.peerAnswerTimeout, take);
 }
 
 void PeerRows::fetch(const std::string &peer, const std::string &table, std::uint64_t revision, PageCallback done)
@@ -243,7 +243,7 @@
         }
         done(std::move(page));
     };
-    call(peer, question, revision, m_loop.now() + m_times.peerAnswer, take);
+    call(peer, question, revision, m_loop.now() + m_times.peerAnswerTimeout, take);
 }
 
 void PeerRows::readTable(const std::string &table, Core::TimePoint deadline, PageCallback done)
--- a/src/libs/relay/sharedrows.cpp
+++ b/src/libs/relay/sharedrows.cpp
@@ -39,7 +39,7 @@
         m_peers.awaitChanges(table, revision, waitEnd, deadline, std::move(done));
         return;
     }
-    const Core::TimePoint sharedEnd = std::min(waitEnd, now + m_times.sharedWait);
+    const Core::TimePoint sharedEnd = std::min(waitEnd, now + m_times.sharedMaximumWait);
     const Core::TimePoint sharedDeadline = std::min(deadline, sharedEnd + (deadline - waitEnd));
     if (m_relay.isElected()) {
         m_peers.awaitChanges(table, revision, sharedEnd, sharedDeadline, std::move(done));
--- a/src/libs/relay/tablegossip.cpp
+++ b/src/libs/relay/tablegossip.cpp
@@ -108,7 +108,8 @@
 
 bool TableGossip::isAged() const
 {
-    return std::any_of(m_followed.begin(), m_followed.end(), [this](const auto &followed) { return isOlderThan(*followed->follower, m_times.sharedAge); });
+    return std::any_of(
+        m_followed.begin(), m_followed.end(), [this](const auto &followed) { return isOlderThan(*followed->follower, m_times.sharedMaximumAge); });
 }
 
 verbena::wire::Envelope TableGossip::digests(bool isReply) const
@@ -151,15 +152,15 @@
 {
     Store::TableFollower &follower = *followed.follower;
     switch (follower.compare(theirs)) {
-    case Store::TableKnowledge::Comparison::Confirms:
+    case Store::TableVersion::Comparison::Confirms:
         follower.confirm(theirs);
         return false;
-    case Store::TableKnowledge::Comparison::KnowsMore:
-        if (followed.urgency == Urgency::AtOnce || isOlderThan(follower, m_times.sharedWait)) {
+    case Store::TableVersion::Comparison::IsNewer:
+        if (followed.urgency == Urgency::AtOnce || isOlderThan(follower, m_times.sharedMaximumWait)) {
             fetch(followed, peer, follower.revision());
         }
         return false;
-    case Store::TableKnowledge::Comparison::Nothing:
+    case Store::TableVersion::Comparison::NotNewer:
         return isHelpful(theirs, follower.digest());
     }
     return false;
@@ -181,7 +182,7 @@
         return;
     }
     ++followed.fetches;
-    followed.nextFetch = now + m_times.peerAnswer / fetchDelayDivisor;
+    followed.nextFetch = now + m_times.peerAnswerTimeout / fetchDelayDivisor;
     const auto take = [this, &followed, peer, asked](Core::Result<Store::RowPage> page) {
         --followed.fetches;
         if (page && page.value().isHistoryLost) {
--- a/src/libs/relay/weightsnamings.cpp
+++ b/src/libs/relay/weightsnamings.cpp
@@ -47,7 +47,7 @@
 
 void WeightsNamings::noteClock(const Store::StoreReading &reading)
 {
-    m_clock.note(reading);
+    m_clock.addReading(reading);
 }
 
 void WeightsNamings::take(const NamedWeights &weights, const Store::TableRow &row, const std::string &how)
--- a/src/libs/store/httpplatform.cpp
+++ b/src/libs/store/httpplatform.cpp
@@ -54,19 +54,19 @@
 {
     switch (status) {
     case statusBadRequest:
-        return {Core::ErrorCode::InvalidArgument, step, peer, "The platform does not understand the request."};
+        return {Core::ErrorCode::InvalidArgument, step, peer, "The platform rejected the request as invalid."};
     case statusNotFound:
-        return {Core::ErrorCode::NotFound, step, peer, "The platform does not have it."};
+        return {Core::ErrorCode::NotFound, step, peer, "The platform has no such entry."};
     case statusTooManyRequests:
         return {Core::ErrorCode::ResourceExhausted, step, peer, "The platform's budget is used up."};
     case statusUnavailable:
-        return {Core::ErrorCode::Unavailable, step, peer, "The platform is out of service."};
+        return {Core::ErrorCode::Unavailable, step, peer, "The platform is unavailable."};
     default:
         return {Core::ErrorCode::Unknown, step, peer, "The platform answered with status " + std::to_string(status) + "."};
     }
 }
 
-// The error that keeps an answer from being read, if there is one.
+// Returns the error because of which a response cannot be decoded, if there is one.
 std::optional<Core::Error> failureOf(const Core::Result<Answer> &answer, const char *step, const std::string &peer)
 {
     if (!answer) {
@@ -95,7 +95,7 @@
     return {CommitOutcome::NotSent, 0, {}, detail};
 }
 
-// Only what the platform itself says, or a request that never left, proves that nothing was written.
+// Only the platform's own response, or a request that was never sent, proves that nothing was written.
 CommitAnswer commitAnswerOf(const Core::Result<Answer> &answer, const std::string &peer)
 {
     const char *step = "table.commit";
@@ -128,7 +128,7 @@
 
 Core::Error wrongObjectName(const char *step, const std::string &peer)
 {
-    return {Core::ErrorCode::InvalidArgument, step, peer, "The name of an object has letters, digits and the signs - _ . / only."};
+    return {Core::ErrorCode::InvalidArgument, step, peer, "An object name may contain only letters, digits and the characters - _ . /."};
 }
 
 Http::HttpCall jsonCall(const std::string &url, std::string body, Core::TimePoint deadline)
--- a/src/libs/store/httpplatform.h
+++ b/src/libs/store/httpplatform.h
@@ -12,15 +12,17 @@
 
 namespace Verbena::Store {
 
-/// \brief The platform over HTTP with JSON. Callbacks come from the loop, never from within a call; none after the object is gone.
+/// \brief Adapter to the platform's table service, object store and host list over HTTP with JSON.
 ///
-/// Reads fail with ResourceExhausted over the platform's budget, Unavailable in an outage, Unknown if the answer was lost.
+/// Callbacks are called from the event loop, never from within a call, and not after the adapter is destroyed.
+///
+/// Reads fail with ResourceExhausted if the platform's budget is used up, Unavailable in an outage, Unknown if the answer was lost.
 class HttpPlatform : public TableService, public ObjectStore, public HostList
 {
 public:
-    /// \brief Makes an adapter to the platform at \a url, for instance "http://127.0.0.1:8080".
+    /// \brief Creates an adapter to the platform at \a url, for instance "http://127.0.0.1:8080".
     ///
-    /// Errors: Internal, if there can be no client.
+    /// Errors: Internal, if the HTTP client cannot be created.
     static Core::Result<std::unique_ptr<HttpPlatform>> create(EventLoop::Loop &loop, const std::string &url);
 
     void get(const std::vector<std::string> &keys, Core::TimePoint deadline, RowsCallback done) override;
--- a/src/libs/store/objectstore.h
+++ b/src/libs/store/objectstore.h
@@ -8,7 +8,7 @@
 
 namespace Verbena::Store {
 
-/// \brief The platform's object store.
+/// \brief Interface to the platform's object store.
 class ObjectStore
 {
 public:
--- a/src/libs/store/platformjson.cpp
+++ b/src/libs/store/platformjson.cpp
@@ -8,7 +8,7 @@
 
 using nlohmann::json;
 
-// The library reports a wrong type by an exception; here it becomes an error.
+// Converts the exception by which the JSON library reports a wrong type into an error.
 template<typename T, typename Decode>
 Core::Result<T> decode(const std::string &text, Decode decodeValue)
 {
--- a/src/libs/store/platformjson.h
+++ b/src/libs/store/platformjson.h
@@ -8,9 +8,9 @@
 
 namespace Verbena::Store {
 
-/// \brief What the HTTP interface of the platform carries, as JSON. Each decode function fails with InvalidArgument.
-///
-/// Values have to be UTF-8, as JSON demands; isEncodable() tells.
+// JSON messages of the platform's HTTP interface. Each decode function fails with InvalidArgument.
+
+/// \brief Returns whether all keys and values of \a writes are UTF-8, as JSON requires.
 bool isEncodable(const std::vector<RowWrite> &writes);
 
 std::string encodeRows(const std::vector<TableRow> &rows);
@@ -25,7 +25,7 @@
 std::string encodeKeys(const std::vector<std::string> &keys);
 Core::Result<std::vector<std::string>> decodeKeys(const std::string &text);
 
-/// \brief The arguments of TableService::scan().
+/// \brief Arguments of TableService::scan().
 struct ScanArguments
 {
     std::string prefix;
--- a/src/libs/store/rowmirror.cpp
+++ b/src/libs/store/rowmirror.cpp
@@ -6,63 +6,63 @@
 
 namespace {
 
-// Deleted rows that are remembered in a table; beyond this number the table counts as read anew.
-constexpr std::size_t mostRows = 50'000;
+// Maximum number of rows and tombstones in a table. Beyond it the tombstones are removed and the history begins anew.
+constexpr std::size_t maximumRowsWithTombstones = 50'000;
 
-// Changes of a row that are remembered with their dates: who asks has missed one, or a few while it was cut off.
-constexpr std::size_t mostChanges = 4;
+// Number of changes of a row whose commit times are kept. A requester has usually missed one, or a few while it was disconnected.
+constexpr std::size_t maximumChangesPerRow = 4;
 
 } // namespace
 
 void RowMirror::replace(const std::string &table, const RowPage &page)
 {
     Table before = std::move(m_tables[table]);
-    Table &known = m_tables[table];
-    known = {{}, page.revision, page.revision, before.verifiedAt};
+    Table &tableState = m_tables[table];
+    tableState = {{}, page.revision, page.revision, before.verifiedAt};
     for (const TableRow &row : page.rows) {
         const auto entry = before.rows.find(row.key);
         if (entry != before.rows.end()) {
-            known.rows.emplace(row.key, std::move(entry->second));
+            tableState.rows.emplace(row.key, std::move(entry->second));
         }
     }
-    change(table, page);
+    applyChanges(table, page);
 }
 
-void RowMirror::change(const std::string &table, const RowPage &page)
+void RowMirror::applyChanges(const std::string &table, const RowPage &page)
 {
-    Table &known = m_tables[table];
-    known.revision = std::max(known.revision, page.revision);
+    Table &tableState = m_tables[table];
+    tableState.revision = std::max(tableState.revision, page.revision);
     for (const TableRow &row : page.rows) {
-        note(known.rows[row.key], row);
+        recordChange(tableState.rows[row.key], row);
     }
-    if (known.rows.size() > mostRows) {
-        std::erase_if(known.rows, [](const auto &entry) { return entry.second.row.isDeleted; });
-        known.wholeAt = known.revision;
+    if (tableState.rows.size() > maximumRowsWithTombstones) {
+        std::erase_if(tableState.rows, [](const auto &entry) { return entry.second.row.isDeleted; });
+        tableState.historyStart = tableState.revision;
     }
 }
 
-void RowMirror::noteVerified(const std::string &table, StoreTime verifiedAt, std::uint64_t coveredRevision)
+void RowMirror::setVerified(const std::string &table, StoreTime verifiedAt, std::uint64_t coveredRevision)
 {
-    Table &known = m_tables[table];
-    known.verifiedAt = verifiedAt;
-    known.revision = std::max(known.revision, coveredRevision);
+    Table &tableState = m_tables[table];
+    tableState.verifiedAt = verifiedAt;
+    tableState.revision = std::max(tableState.revision, coveredRevision);
 }
 
 std::optional<StoreTime> RowMirror::verifiedAt(const std::string &table) const
 {
-    const auto known = m_tables.find(table);
-    return known == m_tables.end() ? std::nullopt : known->second.verifiedAt;
+    const auto tableState = m_tables.find(table);
+    return tableState == m_tables.end() ? std::nullopt : tableState->second.verifiedAt;
 }
 
-void RowMirror::note(Entry &entry, const TableRow &row)
+void RowMirror::recordChange(Entry &entry, const TableRow &row)
 {
     entry.row = row;
     if (!entry.changes.empty() && entry.changes.back().revision >= row.revision) {
         return;
     }
     entry.changes.push_back({row.revision, row.committedAfter});
-    if (entry.changes.size() > mostChanges) {
-        entry.forgotten = entry.changes.front().revision;
+    if (entry.changes.size() > maximumChangesPerRow) {
+        entry.evictedRevision = entry.changes.front().revision;
         entry.changes.erase(entry.changes.begin());
     }
 }
@@ -74,21 +74,21 @@
     };
     const auto first = std::find_if(entry.changes.begin(), entry.changes.end(), isMissed);
     TableRow row = entry.row;
-    row.committedAfter = entry.forgotten > revision || first == entry.changes.end() ? std::nullopt : first->committedAfter;
+    row.committedAfter = entry.evictedRevision > revision || first == entry.changes.end() ? std::nullopt : first->committedAfter;
     return row;
 }
 
-RowPage RowMirror::since(const std::string &table, std::uint64_t revision) const
+RowPage RowMirror::changesSince(const std::string &table, std::uint64_t revision) const
 {
     RowPage page;
-    const auto known = m_tables.find(table);
-    if (known == m_tables.end()) {
+    const auto tableState = m_tables.find(table);
+    if (tableState == m_tables.end()) {
         return page;
     }
-    page.revision = known->second.revision;
-    page.verifiedAt = known->second.verifiedAt;
-    page.isHistoryLost = revision != 0 && revision < known->second.wholeAt;
-    for (const auto &[key, entry] : known->second.rows) {
+    page.revision = tableState->second.revision;
+    page.verifiedAt = tableState->second.verifiedAt;
+    page.isHistoryLost = revision != 0 && revision < tableState->second.historyStart;
+    for (const auto &[key, entry] : tableState->second.rows) {
         if (!page.isHistoryLost && entry.row.revision > revision && !(revision == 0 && entry.row.isDeleted)) {
             page.rows.push_back(rowSince(entry, revision));
         }
--- a/src/libs/store/rowmirror.h
+++ b/src/libs/store/rowmirror.h
@@ -9,27 +9,27 @@
 
 namespace Verbena::Store {
 
-/// \brief What a process knows of the tables that it follows, to be handed on to others.
+/// \brief Copy of the tables that a process follows, from which it answers other processes.
 class RowMirror
 {
 public:
-    /// \brief Takes the whole of \a table.
+    /// \brief Replaces all rows of \a table by those of \a page.
     void replace(const std::string &table, const RowPage &page);
 
-    /// \brief Takes changes of \a table.
-    void change(const std::string &table, const RowPage &page);
+    /// \brief Applies the changes in \a page to \a table.
+    void applyChanges(const std::string &table, const RowPage &page);
 
-    /// \brief All of \a table is known up to \a coveredRevision, and all that the store acknowledged before \a verifiedAt.
-    void noteVerified(const std::string &table, StoreTime verifiedAt, std::uint64_t coveredRevision);
+    /// \brief Records that the copy of \a table has all changes up to \a coveredRevision and all that the store acknowledged before \a verifiedAt.
+    void setVerified(const std::string &table, StoreTime verifiedAt, std::uint64_t coveredRevision);
 
-    /// \brief All of \a table is known that the store acknowledged before this moment; nothing if that is not known.
+    /// \brief Returns the time before which the copy of \a table has all changes that the store acknowledged; nothing if there is no such time.
     std::optional<StoreTime> verifiedAt(const std::string &table) const;
 
-    /// \brief What changed in \a table after \a revision; the whole of it for 0.
+    /// \brief Returns the rows of \a table that changed after \a revision, or the whole table for 0.
     ///
-    /// History is lost where rows may have been deleted that nobody remembers. A row is dated by its first change after \a revision, and so by no later moment
-    /// than any change that the asker missed.
-    RowPage since(const std::string &table, std::uint64_t revision) const;
+    /// The history is lost if rows may have been deleted whose tombstones are gone. A row has the commit time of its first change after \a revision, so that
+    /// the time is not later than any change that the requester missed.
+    RowPage changesSince(const std::string &table, std::uint64_t revision) const;
 
 private:
     struct Change
@@ -41,18 +41,18 @@
     struct Entry
     {
         TableRow row;
-        std::vector<Change> changes; ///< The latest ones, by rising revision.
-        std::uint64_t forgotten = 0; ///< Revision of the last change before them; 0 if there is none.
+        std::vector<Change> changes; ///< Latest changes, by ascending revision.
+        std::uint64_t evictedRevision = 0; ///< Revision of the last change before those in changes; 0 if there is none.
     };
 
-    static void note(Entry &entry, const TableRow &row);
+    static void recordChange(Entry &entry, const TableRow &row);
     static TableRow rowSince(const Entry &entry, std::uint64_t revision);
 
     struct Table
     {
-        std::map<std::string, Entry> rows; ///< Deleted ones too, as long as they are remembered.
+        std::map<std::string, Entry> rows; ///< Rows and tombstones of deleted rows.
         std::uint64_t revision = 0;
-        std::uint64_t wholeAt = 0; ///< Deletions after this revision are remembered.
+        std::uint64_t historyStart = 0; ///< Revision after which the tombstones of all deleted rows are kept.
         std::optional<StoreTime> verifiedAt = {};
     };
 
--- a/src/libs/store/rowsource.h
+++ b/src/libs/store/rowsource.h
@@ -13,19 +13,20 @@
 
 namespace Verbena::Store {
 
-/// \brief Rows of one table as of one moment, or what changed since another.
+/// \brief Rows of a table at a revision, or those that changed since an earlier one.
 struct RowPage
 {
     std::vector<TableRow> rows;
-    std::uint64_t revision = 0; ///< Of the store at that moment.
-    bool isHistoryLost = false; ///< What changed is not known any more: read the whole table.
-    bool isSecondHand = false; ///< Another process told it; the store itself did not answer.
-    std::optional<StoreTime> saidAt = {}; ///< When the store itself said so; nothing if another process told it.
-    std::optional<StoreReading> clock = {}; ///< Of the store's clock, from whoever answered; nothing if a TableFollower has to note it.
-    std::optional<StoreTime> verifiedAt = {}; ///< From another process: all that the store acknowledged before is told, or was known to the asker.
+    std::uint64_t revision = 0; ///< Revision of the store when the page was read.
+    bool isHistoryLost = false; ///< Whether the changes are no longer available, so that the whole table has to be read.
+    bool isFromPeer = false; ///< Whether another process answered because the store did not.
+    std::optional<StoreTime> answeredAt = {}; ///< Store time of the store's own answer; nothing if another process answered.
+    std::optional<StoreReading> clock = {}; ///< Reading of the store's clock from the process that answered; nothing if the TableFollower has to add it.
+    std::optional<StoreTime> verifiedAt
+        = {}; ///< In an answer of another process: time before which the page and the requester's rows include all acknowledged changes.
 };
 
-/// \brief Lets a process follow the tables of the platform's store.
+/// \brief Interface through which a process follows the tables of the platform's store.
 class RowSource
 {
 public:
@@ -36,11 +37,11 @@
     /// \brief Reads all of \a table. Errors: DeadlineExceeded, Unavailable, InvalidArgument.
     virtual void readTable(const std::string &table, Core::TimePoint deadline, PageCallback done) = 0;
 
-    /// \brief Reads what changed in \a table after \a revision; waits for a change until \a waitEnd.
+    /// \brief Reads the rows of \a table that changed after \a revision; waits for a change until \a waitEnd.
     virtual void awaitChanges(const std::string &table, std::uint64_t revision, Core::TimePoint waitEnd, Core::TimePoint deadline, PageCallback done) = 0;
 };
 
-/// \brief Reads and writes single rows of the project's own tables in the platform's store.
+/// \brief Interface for reading and writing single rows of the project's own tables in the platform's store.
 class RowStore
 {
 public:
@@ -49,7 +50,7 @@
 
     virtual ~RowStore() = default;
 
-    /// \brief Reads the row \a key, or that there is none. Errors: DeadlineExceeded, Unavailable, InvalidArgument.
+    /// \brief Reads the row \a key; the result is empty if there is none. Errors: DeadlineExceeded, Unavailable, InvalidArgument.
     virtual void readRow(const std::string &table, const std::string &key, Core::TimePoint deadline, RowCallback done) = 0;
 
     /// \brief Writes all rows or none.
--- a/src/libs/store/storeclockestimate.cpp
+++ b/src/libs/store/storeclockestimate.cpp
@@ -6,25 +6,25 @@
 
 namespace {
 
-// Two clocks drift apart by less than that: twice the hundred parts in a million that a host's may be wrong by. Without it a reading of three days ago made
-// ages 5 s too small where clocks differ by 20 parts.
+// Two clocks drift apart by less than 1/driftDivisor: twice the 100 parts per million by which a host's clock may be off. Without this allowance, a
+// reading that is three days old makes ages 5 s too small if the clocks differ by 20 parts per million.
 constexpr std::int64_t driftDivisor = 5000;
 
 } // namespace
 
-// The store's clock was read after the question was asked. So each answer bounds how far it is ahead, the quickest answers best; and since the host's clock
-// goes on while the host is suspended, such a bound holds on, but for the drift of both.
-void StoreClockEstimate::note(const StoreReading &reading)
+// The store's clock was read after the request was sent, so each answer gives an upper bound of the offset, and the fastest answers give the best ones.
+// The host's clock also counts while the host is suspended, so a bound stays valid except for the drift of both clocks.
+void StoreClockEstimate::addReading(const StoreReading &reading)
 {
-    const Bound bound{reading.said.time_since_epoch() - reading.askedAt.time_since_epoch(), reading.askedAt};
-    if (!m_bound.has_value() || bound.ahead <= aheadAt(*m_bound, reading.askedAt)) {
+    const Bound bound{reading.storeTime.time_since_epoch() - reading.requestedAt.time_since_epoch(), reading.requestedAt};
+    if (!m_bound.has_value() || bound.offset <= offsetAt(*m_bound, reading.requestedAt)) {
         m_bound = bound;
     }
 }
 
-Core::BootClock::duration StoreClockEstimate::aheadAt(const Bound &bound, Core::BootTime now)
+Core::BootClock::duration StoreClockEstimate::offsetAt(const Bound &bound, Core::BootTime now)
 {
-    return bound.ahead + std::max(now - bound.at, Core::BootClock::duration(0)) / driftDivisor;
+    return bound.offset + std::max(now - bound.at, Core::BootClock::duration(0)) / driftDivisor;
 }
 
 std::optional<StoreTime> StoreClockEstimate::latest(Core::BootTime now) const
@@ -32,16 +32,16 @@
     if (!m_bound.has_value()) {
         return std::nullopt;
     }
-    return StoreTime(std::chrono::ceil<StoreTime::duration>(now.time_since_epoch() + aheadAt(*m_bound, now)));
+    return StoreTime(std::chrono::ceil<StoreTime::duration>(now.time_since_epoch() + offsetAt(*m_bound, now)));
 }
 
-std::optional<std::chrono::milliseconds> StoreClockEstimate::age(StoreTime moment, Core::BootTime now) const
+std::optional<std::chrono::milliseconds> StoreClockEstimate::age(StoreTime time, Core::BootTime now) const
 {
     const std::optional<StoreTime> present = latest(now);
-    if (!present.has_value() || moment > *present) {
+    if (!present.has_value() || time > *present) {
         return std::nullopt;
     }
-    return *present - moment;
+    return *present - time;
 }
 
 } // namespace Verbena::Store
--- a/src/libs/store/storeclockestimate.h
+++ b/src/libs/store/storeclockestimate.h
@@ -6,27 +6,29 @@
 
 namespace Verbena::Store {
 
-/// \brief Tells how long ago a moment of the store's clock was, from the readings that a process has got.
+/// \brief Estimate of the store's clock from the readings that a process received, for ages of store times.
 class StoreClockEstimate
 {
 public:
-    void note(const StoreReading &reading);
+    /// \brief Updates the estimate with \a reading.
+    void addReading(const StoreReading &reading);
 
-    /// \brief The latest that it may be by the store's clock at \a now; nothing before the first reading.
+    /// \brief Returns the latest possible time of the store's clock at \a now; nothing before the first reading.
     std::optional<StoreTime> latest(Core::BootTime now) const;
 
-    /// \brief How long ago \a moment was at most; nothing before the first reading, or if it is still to come, and so is none that was ever read.
-    std::optional<std::chrono::milliseconds> age(StoreTime moment, Core::BootTime now) const;
+    /// \brief Returns the maximum age of \a time at \a now; nothing before the first reading, or for a time in the future, which cannot have been read from
+    /// the store's clock.
+    std::optional<std::chrono::milliseconds> age(StoreTime time, Core::BootTime now) const;
 
 private:
-    // How far the store's clock is ahead of this host's, at most, as of a moment of the latter.
+    // Upper bound of the store's clock minus this host's clock, at a time of the latter.
     struct Bound
     {
-        Core::BootClock::duration ahead;
+        Core::BootClock::duration offset;
         Core::BootTime at;
     };
 
-    static Core::BootClock::duration aheadAt(const Bound &bound, Core::BootTime now);
+    static Core::BootClock::duration offsetAt(const Bound &bound, Core::BootTime now);
 
     std::optional<Bound> m_bound;
 };
--- a/src/libs/store/storetime.h
+++ b/src/libs/store/storetime.h
@@ -6,21 +6,22 @@
 
 namespace Verbena::Store {
 
-/// \brief The store's own clock, as its answers tell it: steady, and the same for all hosts.
+/// \brief The store's own clock as reported in its answers: steady, and the same for all hosts.
 struct StoreClock
 {
     using duration = std::chrono::milliseconds;
     using time_point = std::chrono::time_point<StoreClock>;
 };
 
-/// \brief A moment of the store's clock.
+/// \brief Time point of the store's clock.
 using StoreTime = StoreClock::time_point;
 
-/// \brief What the store's clock said in the answer to a question that was asked at askedAt; not later than it truly was when the answer came.
+/// \brief Reading of the store's clock in the answer to a request that was sent at requestedAt. It is not later than the store's clock was when the answer
+/// arrived.
 struct StoreReading
 {
-    StoreTime said;
-    Core::BootTime askedAt;
+    StoreTime storeTime;
+    Core::BootTime requestedAt;
 };
 
 } // namespace Verbena::Store
--- a/src/libs/store/tabledigest.h
+++ b/src/libs/store/tabledigest.h
@@ -8,13 +8,13 @@
 
 namespace Verbena::Store {
 
-/// \brief What a process knows of a table, in short.
+/// \brief Summary of how current a process's copy of a table is.
 struct TableDigest
 {
     std::string table;
-    std::uint64_t changedRevision = 0; ///< Of the last change that it knows, or of the time when it read the whole table, whichever is later.
-    std::uint64_t coveredRevision = 0; ///< It knows all changes up to this one.
-    std::optional<StoreTime> verifiedAt; ///< It knows all that the store acknowledged before this moment of the store's clock.
+    std::uint64_t changedRevision = 0; ///< Revision of its last change, or at which it read the whole table, whichever is later.
+    std::uint64_t coveredRevision = 0; ///< Revision up to which it has all changes.
+    std::optional<StoreTime> verifiedAt; ///< Store time before which it has all acknowledged changes.
 };
 
 } // namespace Verbena::Store
--- a/src/libs/store/tablefollower.cpp
+++ b/src/libs/store/tablefollower.cpp
@@ -11,9 +11,9 @@
 
 namespace {
 
-// Of the first question after a failure; doubles with each further one, so that a store that comes back is not overrun.
-constexpr milliseconds firstRetry{60};
-constexpr std::uint32_t mostDoublings = 4;
+// Time from a failure to the next request. It doubles with each further failure, so that a recovering store is not overloaded.
+constexpr milliseconds initialRetryInterval{60};
+constexpr std::uint32_t maximumRetryDoublings = 4;
 
 } // namespace
 
@@ -23,15 +23,15 @@
     , m_pause(pause)
     , m_consumer(consumer)
     , m_times(times)
-    , m_timer(loop, [this] { ask(); })
-    , m_patience(loop,
+    , m_requestTimer(loop, [this] { sendRequest(); })
+    , m_answerTimer(loop,
           [this] {
-              noteFailure({Core::ErrorCode::DeadlineExceeded, "store.follow", m_table, "No answer came in time."});
+              handleFailure({Core::ErrorCode::DeadlineExceeded, "store.follow", m_table, "The store did not answer in time."});
           })
-    , m_knowledge(table)
+    , m_version(table)
     , m_table(std::move(table))
 {
-    askAgainAt(loop.now());
+    scheduleRequest(loop.now());
 }
 
 TableFollower::~TableFollower() = default;
@@ -48,241 +48,244 @@
 
 std::uint64_t TableFollower::revision() const
 {
-    return m_knowledge.revision();
+    return m_version.revision();
 }
 
 std::optional<milliseconds> TableFollower::age() const
 {
-    const std::optional<StoreTime> verifiedAt = m_knowledge.verifiedAt();
+    const std::optional<StoreTime> verifiedAt = m_version.verifiedAt();
     return verifiedAt.has_value() ? m_clock.age(*verifiedAt, Core::BootClock::now()) : std::nullopt;
 }
 
 TableDigest TableFollower::digest() const
 {
-    return m_knowledge.digest();
+    return m_version.digest();
 }
 
-TableKnowledge::Comparison TableFollower::compare(const TableDigest &theirs) const
+TableVersion::Comparison TableFollower::compare(const TableDigest &theirs) const
 {
-    return m_knowledge.compare(theirs);
+    return m_version.compare(theirs);
 }
 
 void TableFollower::confirm(const TableDigest &theirs)
 {
-    if (m_knowledge.confirm(theirs)) {
-        m_toldAt = Core::BootClock::now();
-        noteVerified();
+    if (m_version.confirm(theirs)) {
+        m_lastPeerUpdateAt = Core::BootClock::now();
+        handleVerified();
     }
 }
 
-void TableFollower::offer(RowPage page, std::uint64_t asked)
+void TableFollower::offer(RowPage page, std::uint64_t requestedRevision)
 {
-    const bool isWhole = asked == 0;
-    if (page.isHistoryLost || page.revision < asked || (!isWhole && !m_knowledge.isRead())) {
+    const bool isWhole = requestedRevision == 0;
+    if (page.isHistoryLost || page.revision < requestedRevision || (!isWhole && !m_version.isRead())) {
         return;
     }
-    m_toldAt = Core::BootClock::now();
-    take({0, asked, m_toldAt, isWhole, false}, std::move(page));
+    m_lastPeerUpdateAt = Core::BootClock::now();
+    apply({0, requestedRevision, m_lastPeerUpdateAt, isWhole, false}, std::move(page));
 }
 
-// A question that waits for a change shows only at its end that the store does not hear it. In that time a change would be missed.
-void TableFollower::askBeside()
+// A long poll that never reached the store is detected only when it times out, and changes would be missed until then.
+void TableFollower::pollNow()
 {
     const Core::TimePoint now = m_loop.now();
-    if (m_failures > 0 || !m_isHistoryKnown || now < m_besideDeadline) {
+    if (m_failures > 0 || !m_isHistoryKnown || now < m_pollDeadline) {
         return;
     }
-    m_besideDeadline = now + m_times.answer;
-    const Question question{0, m_knowledge.revision(), Core::BootClock::now(), false, false};
-    const auto take = [this, question](Core::Result<RowPage> page) {
-        receive(question, std::move(page));
+    m_pollDeadline = now + m_times.answerTimeout;
+    const Request request{0, m_version.revision(), Core::BootClock::now(), false, false};
+    const auto handle = [this, request](Core::Result<RowPage> page) {
+        handlePage(request, std::move(page));
     };
-    m_source.awaitChanges(m_table, question.revision, now, now + m_times.slowAnswer, m_lifetime.guard(take));
+    m_source.awaitChanges(m_table, request.revision, now, now + m_times.slowAnswerTimeout, m_lifetime.guard(handle));
 }
 
-// After a failure a short question shows sooner whether the store is back: a long one that it never got would hang while changes are untold.
-void TableFollower::ask()
+// After a failure a request without waiting time shows sooner whether the store is back. A long poll that the store never received would hang while changes
+// are missed.
+void TableFollower::sendRequest()
 {
     const Core::TimePoint now = m_loop.now();
-    const bool isWaiting = m_isHistoryKnown && m_failures == 0;
-    const Core::TimePoint waitEnd = isWaiting ? now + m_times.longestWait : now;
-    const Core::TimePoint deadline = isWaiting ? waitEnd + m_times.answer : now + m_times.slowAnswer;
-    const Question question{++m_lastNumber, m_knowledge.revision(), Core::BootClock::now(), !m_isHistoryKnown, isWaiting};
-    m_patience.startAt(waitEnd + m_times.answer);
-    const auto take = [this, question](Core::Result<RowPage> page) {
-        receive(question, std::move(page));
+    const bool isLongPoll = m_isHistoryKnown && m_failures == 0;
+    const Core::TimePoint waitEnd = isLongPoll ? now + m_times.maximumWait : now;
+    const Core::TimePoint deadline = isLongPoll ? waitEnd + m_times.answerTimeout : now + m_times.slowAnswerTimeout;
+    const Request request{++m_lastRequestNumber, m_version.revision(), Core::BootClock::now(), !m_isHistoryKnown, isLongPoll};
+    m_answerTimer.startAt(waitEnd + m_times.answerTimeout);
+    const auto handle = [this, request](Core::Result<RowPage> page) {
+        handlePage(request, std::move(page));
     };
-    if (question.isWhole) {
-        m_source.readTable(m_table, deadline, m_lifetime.guard(take));
+    if (request.isWhole) {
+        m_source.readTable(m_table, deadline, m_lifetime.guard(handle));
     } else {
-        m_source.awaitChanges(m_table, question.revision, waitEnd, deadline, m_lifetime.guard(take));
+        m_source.awaitChanges(m_table, request.revision, waitEnd, deadline, m_lifetime.guard(handle));
     }
 }
 
-bool TableFollower::isPresent(const Question &question) const
+bool TableFollower::isCurrent(const Request &request) const
 {
-    return question.number == m_lastNumber && m_patience.isActive();
+    return request.number == m_lastRequestNumber && m_answerTimer.isActive();
 }
 
-// A slow store answers when its question was given up already, and is right all the same.
-void TableFollower::receive(const Question &question, Core::Result<RowPage> page)
+// The answer of a slow store may arrive after its request was given up; it is still valid.
+void TableFollower::handlePage(const Request &request, Core::Result<RowPage> page)
 {
-    if (!page || page.value().isHistoryLost || page.value().revision < question.revision) {
-        receiveFailure(question, page);
+    if (!page || page.value().isHistoryLost || page.value().revision < request.revision) {
+        handleFailedRequest(request, page);
         return;
     }
-    const bool isSecondHand = page.value().isSecondHand;
-    take(question, std::move(page.value()));
-    if (isPresent(question)) {
-        noteAnswer(isSecondHand);
-    } else if (!isSecondHand) {
+    const bool isFromPeer = page.value().isFromPeer;
+    apply(request, std::move(page.value()));
+    if (isCurrent(request)) {
+        handleAnswer(isFromPeer);
+    } else if (!isFromPeer) {
         m_failures = 0;
-        noteHeard();
+        markRegained();
     }
 }
 
-void TableFollower::receiveFailure(const Question &question, const Core::Result<RowPage> &page)
+void TableFollower::handleFailedRequest(const Request &request, const Core::Result<RowPage> &page)
 {
-    if (!isPresent(question)) {
+    if (!isCurrent(request)) {
         return;
     }
-    m_patience.stop();
+    m_answerTimer.stop();
     if (!page) {
-        noteFailure(page.error());
+        handleFailure(page.error());
     } else if (page.value().isHistoryLost) {
-        noteHistoryLost();
+        handleHistoryLost();
     } else {
-        refuse(question, page.value());
+        rejectStaleAnswer(request, page.value());
     }
 }
 
-// A whole table that others have overtaken meanwhile tells nothing new, but history goes on from there.
-void TableFollower::take(const Question &question, RowPage page)
+// A whole table that was superseded by data of other processes brings no new rows, but changes can be requested again from then on.
+void TableFollower::apply(const Request &request, RowPage page)
 {
-    const std::optional<StoreTime> before = m_knowledge.verifiedAt();
-    if (question.isWhole) {
-        takeTable(question, page);
+    const std::optional<StoreTime> before = m_version.verifiedAt();
+    if (request.isWhole) {
+        applyTable(request, page);
     } else {
-        takeChanges(question, page);
+        applyChanges(request, page);
     }
     m_isHistoryKnown = true;
-    const std::optional<StoreTime> verifiedAt = m_knowledge.verifiedAt();
+    const std::optional<StoreTime> verifiedAt = m_version.verifiedAt();
     if (verifiedAt.has_value() && verifiedAt != before) {
-        noteVerified();
+        handleVerified();
     }
 }
 
-void TableFollower::noteVerified()
+void TableFollower::handleVerified()
 {
-    m_consumer.tableVerified(m_table, *m_knowledge.verifiedAt(), m_knowledge.revision());
-    if (m_isLost && isServedToOthers()) {
-        noteHeard();
+    m_consumer.tableVerified(m_table, *m_version.verifiedAt(), m_version.revision());
+    if (m_isLost && isStoreServingPeers()) {
+        markRegained();
     }
 }
 
-void TableFollower::takeTable(const Question &question, RowPage &page)
+void TableFollower::applyTable(const Request &request, RowPage &page)
 {
-    const std::uint64_t known = m_knowledge.revision();
-    if (m_knowledge.takeTable(page, question.revision) == TableKnowledge::Verdict::Taken) {
-        date(question, page, known);
+    const std::uint64_t knownRevision = m_version.revision();
+    if (m_version.applyTable(page, request.revision) == TableVersion::ApplyResult::Applied) {
+        setCommitTimes(request, page, knownRevision);
         m_consumer.replaceRows(m_table, page);
     }
 }
 
-void TableFollower::takeChanges(const Question &question, RowPage &page)
+void TableFollower::applyChanges(const Request &request, RowPage &page)
 {
-    const std::uint64_t known = m_knowledge.revision();
-    m_isHistoryDoubtful = false;
-    m_knowledge.takeChanges(page, question.revision);
-    date(question, page, known);
+    const std::uint64_t knownRevision = m_version.revision();
+    m_wasHistoryLost = false;
+    m_version.applyChanges(page, request.revision);
+    setCommitTimes(request, page, knownRevision);
     if (!page.rows.empty()) {
         m_consumer.changeRows(m_table, page);
     }
 }
 
-// The store tells those who wait at once. So a change is older than the answer that tells it only by the time for which no question waited there: from the
-// last answer, when it was given and not when it came, until the present question was sent, whoever sent it in this follower's place. One that does not
-// wait may have been answered long after it was sent, with what was changed long before.
-std::optional<StoreTime> TableFollower::changedAfter(const Question &question, const RowPage &page) const
+// The store answers a long poll as soon as something changes. So a change can be older than the answer that reports it only by the time for which no long
+// poll was pending: from when the last answer was given, not when it arrived, until the present request was sent by this follower or by another process on
+// its behalf. A request without waiting time may be answered long after it was sent, with changes made long before.
+std::optional<StoreTime> TableFollower::earliestCommitTime(const Request &request, const RowPage &page) const
 {
-    if (!m_saidAt.has_value() || !question.isWaiting) {
-        return m_saidAt;
+    if (!m_lastAnsweredAt.has_value() || !request.isLongPoll) {
+        return m_lastAnsweredAt;
     }
-    const Core::BootTime sentAt = page.clock.has_value() ? page.clock->askedAt : question.askedAt;
-    const StoreTime sent = m_clock.latest(sentAt).value_or(*page.saidAt);
-    const StoreTime::duration unwatched = std::max(StoreTime::duration(0), sent - *m_saidAt);
-    return std::max(*m_saidAt, *page.saidAt - unwatched);
+    const Core::BootTime sentAt = page.clock.has_value() ? page.clock->requestedAt : request.requestedAt;
+    const StoreTime sent = m_clock.latest(sentAt).value_or(*page.answeredAt);
+    const StoreTime::duration timeWithoutRequest = std::max(StoreTime::duration(0), sent - *m_lastAnsweredAt);
+    return std::max(*m_lastAnsweredAt, *page.answeredAt - timeWithoutRequest);
 }
 
-// Dates the rows beyond \a known and takes the clock of the page. Another process dates what it tells by itself, as well as it can.
-void TableFollower::date(const Question &question, RowPage &page, std::uint64_t known)
+// Sets the commit times of the rows after \a knownRevision and updates the clock estimate. Another process has already set the times of its rows as well
+// as it can.
+void TableFollower::setCommitTimes(const Request &request, RowPage &page, std::uint64_t knownRevision)
 {
-    if (page.saidAt.has_value()) {
-        const std::optional<StoreTime> committedAfter = changedAfter(question, page);
+    if (page.answeredAt.has_value()) {
+        const std::optional<StoreTime> committedAfter = earliestCommitTime(request, page);
         for (TableRow &row : page.rows) {
-            if (row.revision > known) {
+            if (row.revision > knownRevision) {
                 row.committedAfter = committedAfter;
             }
         }
-        m_saidAt = std::max(m_saidAt, page.saidAt);
-        page.clock = page.clock.value_or(StoreReading{*page.saidAt, question.askedAt});
+        m_lastAnsweredAt = std::max(m_lastAnsweredAt, page.answeredAt);
+        page.clock = page.clock.value_or(StoreReading{*page.answeredAt, request.requestedAt});
     }
     if (page.clock.has_value()) {
-        m_clock.note(*page.clock);
+        m_clock.addReading(*page.clock);
     }
 }
 
-// The whole table is read at once; but one that is read from the past ends where history is lost still, and is read again and again.
-void TableFollower::noteHistoryLost()
+// The whole table is read at once, but with a pause if the history is lost repeatedly: a stale table may end where the history is still lost, and would be
+// read over and over.
+void TableFollower::handleHistoryLost()
 {
     m_isHistoryKnown = false;
-    const bool isAgain = std::exchange(m_isHistoryDoubtful, true);
-    askAgainAt(isAgain ? m_loop.now() + nextRetry() : m_loop.now());
+    const bool isRepeated = std::exchange(m_wasHistoryLost, true);
+    scheduleRequest(isRepeated ? m_loop.now() + nextRetryInterval() : m_loop.now());
 }
 
-void TableFollower::refuse(const Question &question, const RowPage &page)
+void TableFollower::rejectStaleAnswer(const Request &request, const RowPage &page)
 {
-    RefusedAnswer refused{page.revision, question.revision, {}};
-    if (page.saidAt.has_value()) {
-        refused.saidAgo = m_clock.age(*page.saidAt, Core::BootClock::now());
+    StaleAnswer stale{page.revision, request.revision, {}};
+    if (page.answeredAt.has_value()) {
+        stale.answerAge = m_clock.age(*page.answeredAt, Core::BootClock::now());
     }
-    m_consumer.answerRefused(m_table, refused);
-    noteFailure({Core::ErrorCode::Conflict, "store.follow", m_table, "The store answers from the past."});
+    m_consumer.staleAnswerReceived(m_table, stale);
+    handleFailure({Core::ErrorCode::Conflict, "store.follow", m_table, "The store's answer is older than an earlier one."});
 }
 
-void TableFollower::askAgainAt(Core::TimePoint moment)
+void TableFollower::scheduleRequest(Core::TimePoint time)
 {
-    m_timer.startAt(moment);
+    m_requestTimer.startAt(time);
 }
 
-void TableFollower::noteFailure(const Core::Error &error)
+void TableFollower::handleFailure(const Core::Error &error)
 {
     const Core::BootTime now = Core::BootClock::now();
     m_failedSince = m_failures == 0 ? now : m_failedSince;
-    // Others, if any tell what they know, take a moment to tell that the store goes on answering them.
-    const bool areOthersAsked = now - m_toldAt < m_times.bound && now - m_failedSince < m_times.sharedWait;
-    if (!m_isLost && !areOthersAsked && !isServedToOthers()) {
+    // Peers that send updates need some time to report that the store still answers them.
+    const bool arePeersUpdating = now - m_lastPeerUpdateAt < m_times.bound && now - m_failedSince < m_times.sharedMaximumWait;
+    if (!m_isLost && !arePeersUpdating && !isStoreServingPeers()) {
         m_isLost = true;
         m_consumer.sourceLost(m_table, error);
     }
-    askAgainAt(m_loop.now() + nextRetry());
+    scheduleRequest(m_loop.now() + nextRetryInterval());
 }
 
-// Others heard the store since it does not answer here, and told so: it turns only some away.
-bool TableFollower::isServedToOthers() const
+// Returns whether peers reported an answer of the store since it stopped answering here, so that it refuses only some processes.
+bool TableFollower::isStoreServingPeers() const
 {
-    const std::optional<milliseconds> known = age();
-    return known.has_value() && *known < m_times.sharedAge && *known < Core::BootClock::now() - m_failedSince;
+    const std::optional<milliseconds> knownAge = age();
+    return knownAge.has_value() && *knownAge < m_times.sharedMaximumAge && *knownAge < Core::BootClock::now() - m_failedSince;
 }
 
-milliseconds TableFollower::nextRetry()
+milliseconds TableFollower::nextRetryInterval()
 {
-    const milliseconds wait = std::min(m_times.longestRetry, firstRetry * (1 << std::min(m_failures, mostDoublings)));
+    const milliseconds wait = std::min(m_times.maximumRetryInterval, initialRetryInterval * (1 << std::min(m_failures, maximumRetryDoublings)));
     ++m_failures;
     return wait;
 }
 
-void TableFollower::noteHeard()
+void TableFollower::markRegained()
 {
     if (m_isLost) {
         m_isLost = false;
@@ -290,17 +293,17 @@
     }
 }
 
-// What another process told is worth as much, but shows nothing of the store, which has to be asked as after a failure.
-void TableFollower::noteAnswer(bool isSecondHand)
+// Data of another process is equally valid but says nothing about the store, so the next request is sent as after a failure.
+void TableFollower::handleAnswer(bool isFromPeer)
 {
-    m_patience.stop();
-    noteHeard();
-    if (isSecondHand) {
-        askAgainAt(m_loop.now() + std::max(m_pause, nextRetry()));
+    m_answerTimer.stop();
+    markRegained();
+    if (isFromPeer) {
+        scheduleRequest(m_loop.now() + std::max(m_pause, nextRetryInterval()));
         return;
     }
     m_failures = 0;
-    askAgainAt(m_loop.now() + m_pause);
+    scheduleRequest(m_loop.now() + m_pause);
 }
 
 } // namespace Verbena::Store
--- a/src/libs/store/tablefollower.h
+++ b/src/libs/store/tablefollower.h
@@ -3,7 +3,7 @@
 #include "followtimes.h"
 #include "rowsource.h"
 #include "storeclockestimate.h"
-#include "tableknowledge.h"
+#include "tableversion.h"
 
 #include <core/lifetime.h>
 #include <eventloop/timer.h>
@@ -13,47 +13,47 @@
 
 namespace Verbena::Store {
 
-/// \brief An answer from the past: it knows less than has been told before.
-struct RefusedAnswer
+/// \brief Answer of the store at an earlier revision than one that was already received.
+struct StaleAnswer
 {
     std::uint64_t revision = 0;
     std::uint64_t knownRevision = 0;
-    std::optional<std::chrono::milliseconds> saidAgo; ///< By the store's clock; nothing if the store did not say when.
+    std::optional<std::chrono::milliseconds> answerAge; ///< Age by the store's clock; nothing if the answer has no time.
 };
 
-/// \brief Takes what a TableFollower learns.
+/// \brief Interface that receives the rows and events of a TableFollower.
 class RowConsumer
 {
 public:
     virtual ~RowConsumer() = default;
 
-    /// \brief The whole of \a table, in place of all that was known.
+    /// \brief Replaces all rows of \a table by those of \a page.
     virtual void replaceRows(const std::string &table, const RowPage &page) = 0;
 
-    /// \brief Rows of \a table that were added, changed or deleted.
+    /// \brief Applies the rows of \a table in \a page that were added, changed or deleted.
     virtual void changeRows(const std::string &table, const RowPage &page) = 0;
 
-    /// \brief The store does not answer about \a table.
+    /// \brief Handles that the store does not answer requests for \a table because of \a error.
     virtual void sourceLost(const std::string &table, const Core::Error &error) = 0;
 
-    /// \brief It answers again.
+    /// \brief Handles that the store answers requests for \a table again.
     virtual void sourceRegained(const std::string &table) = 0;
 
-    /// \brief All of \a table is known up to \a coveredRevision, and all that the store acknowledged before \a verifiedAt.
+    /// \brief Handles that all changes of \a table up to \a coveredRevision, and all that the store acknowledged before \a verifiedAt, were received.
     virtual void tableVerified(const std::string &table, StoreTime verifiedAt, std::uint64_t coveredRevision) = 0;
 
-    /// \brief \a answer was not taken.
-    virtual void answerRefused(const std::string &table, const RefusedAnswer &answer) = 0;
+    /// \brief Handles that \a answer was rejected because it is stale.
+    virtual void staleAnswerReceived(const std::string &table, const StaleAnswer &answer) = 0;
 };
 
-/// \brief Follows one table for as long as it lives, whatever the store does meanwhile.
+/// \brief Follows one table of the store through outages, stale answers and lost history.
 ///
-/// What the store says is taken only if its revision has not gone back: one that answers from the past is asked again. Rows that are new are dated as well
-/// as can be proved. What other processes know can be offered at any moment, so that a question that hangs holds up nothing.
+/// An answer is applied only if its revision has not decreased; after a stale answer the request is sent again. New rows get the latest commit time that can
+/// be proven. Data from other processes can be offered at any time, so that a request that hangs blocks nothing.
 class TableFollower
 {
 public:
-    /// \brief Begins to follow \a table; asks at most once in \a pause, so that changes in quick succession come together.
+    /// \brief Starts to follow \a table. Sends at most one request per \a pause, so that changes in quick succession arrive together.
     TableFollower(EventLoop::Loop &loop,
         RowSource &source,
         std::string table,
@@ -65,81 +65,81 @@
     TableFollower(const TableFollower &) = delete;
     TableFollower &operator=(const TableFollower &) = delete;
 
-    /// \brief Asks at most once in \a pause from now on.
+    /// \brief Sends at most one request per \a pause from now on.
     void setPause(std::chrono::milliseconds pause);
 
     const std::string &table() const;
 
-    /// \brief The revision up to which the table is known; 0 before it was read once.
+    /// \brief Returns the revision up to which all changes were received; 0 before the table was first read.
     std::uint64_t revision() const;
 
-    /// \brief How long ago the store may have acknowledged something that is not known here, at most; nothing before the first answer.
+    /// \brief Returns the maximum age of a change that the store acknowledged but that is missing here; nothing before the first answer.
     std::optional<std::chrono::milliseconds> age() const;
 
-    /// \brief What is known, in short, for other processes.
+    /// \brief Returns the digest to be sent to other processes.
     TableDigest digest() const;
 
-    /// \brief What \a theirs means beside what is known here.
-    TableKnowledge::Comparison compare(const TableDigest &theirs) const;
+    /// \brief Returns what \a theirs, the digest of another process, means for this table.
+    TableVersion::Comparison compare(const TableDigest &theirs) const;
 
-    /// \brief Takes a digest that confirms what is known.
+    /// \brief Applies a digest that confirms the present version.
     void confirm(const TableDigest &theirs);
 
-    /// \brief Takes what another process knows: \a page holds its changes after \a asked, or the whole table for 0.
-    void offer(RowPage page, std::uint64_t asked);
+    /// \brief Applies data of another process: \a page holds the changes after \a requestedRevision, or the whole table for 0.
+    void offer(RowPage page, std::uint64_t requestedRevision);
 
-    /// \brief Asks the store once more beside a question that waits there, unless one that should be answered soon is on its way.
-    void askBeside();
+    /// \brief Sends a request without waiting time in addition to the pending long poll, unless a request that should be answered soon is pending.
+    void pollNow();
 
 private:
-    // What was asked, and what was known then.
-    struct Question
+    // Request to the store and the state at the time when it was sent.
+    struct Request
     {
-        std::uint64_t number = 0; ///< 0 for one that was asked beside, or by another process.
-        std::uint64_t revision = 0;
-        Core::BootTime askedAt;
+        std::uint64_t number = 0; ///< 0 for a request by pollNow() or for data of another process.
+        std::uint64_t revision = 0; ///< Revision up to which the table was received then.
+        Core::BootTime requestedAt;
         bool isWhole = false;
-        bool isWaiting = false; ///< The store answers as soon as something changes.
+        bool isLongPoll = false; ///< Whether the store waits for a change before it answers.
     };
 
-    void ask();
-    void receive(const Question &question, Core::Result<RowPage> page);
-    void receiveFailure(const Question &question, const Core::Result<RowPage> &page);
-    bool isPresent(const Question &question) const;
-    void take(const Question &question, RowPage page);
-    void takeTable(const Question &question, RowPage &page);
-    void takeChanges(const Question &question, RowPage &page);
-    void date(const Question &question, RowPage &page, std::uint64_t known);
-    std::optional<StoreTime> changedAfter(const Question &question, const RowPage &page) const;
-    void noteHistoryLost();
-    void refuse(const Question &question, const RowPage &page);
-    void askAgainAt(Core::TimePoint moment);
-    void noteFailure(const Core::Error &error);
-    void noteVerified();
-    bool isServedToOthers() const;
-    void noteAnswer(bool isSecondHand);
-    void noteHeard();
-    std::chrono::milliseconds nextRetry();
+    void sendRequest();
+    void handlePage(const Request &request, Core::Result<RowPage> page);
+    void handleFailedRequest(const Request &request, const Core::Result<RowPage> &page);
+    bool isCurrent(const Request &request) const;
+    void apply(const Request &request, RowPage page);
+    void applyTable(const Request &request, RowPage &page);
+    void applyChanges(const Request &request, RowPage &page);
+    void setCommitTimes(const Request &request, RowPage &page, std::uint64_t knownRevision);
+    std::optional<StoreTime> earliestCommitTime(const Request &request, const RowPage &page) const;
+    void handleHistoryLost();
+    void rejectStaleAnswer(const Request &request, const RowPage &page);
+    void scheduleRequest(Core::TimePoint time);
+    void handleFailure(const Core::Error &error);
+    void handleVerified();
+    bool isStoreServingPeers() const;
+    void handleAnswer(bool isFromPeer);
+    void markRegained();
+    std::chrono::milliseconds nextRetryInterval();
 
     EventLoop::Loop &m_loop;
     RowSource &m_source;
     std::chrono::milliseconds m_pause;
     RowConsumer &m_consumer;
     FollowTimes m_times;
-    EventLoop::Timer m_timer; ///< Of the next question.
-    EventLoop::Timer m_patience; ///< Of the present question's answer.
-    TableKnowledge m_knowledge;
+    EventLoop::Timer m_requestTimer; ///< Time of the next request.
+    EventLoop::Timer m_answerTimer; ///< Timeout of the current request.
+    TableVersion m_version;
     std::string m_table;
-    std::optional<StoreTime> m_saidAt; ///< When the store itself answered last, by its clock.
+    std::optional<StoreTime> m_lastAnsweredAt; ///< Store time of the store's own last answer.
     StoreClockEstimate m_clock;
-    std::uint64_t m_lastNumber = 0; ///< Of the present question; answers to earlier ones are still worth their rows.
-    Core::BootTime m_failedSince; ///< While m_failures is not 0.
-    Core::BootTime m_toldAt; ///< When another process last told something that was not known.
-    Core::TimePoint m_besideDeadline{}; ///< Until then no other question is asked beside.
-    bool m_isHistoryKnown = false; ///< Of what changed since the revision; else the whole table has to be read.
-    bool m_isHistoryDoubtful = false; ///< It was lost since changes were told last.
-    bool m_isLost = false; ///< Nobody hears the store.
-    std::uint32_t m_failures = 0; ///< Of the store since it answered last.
+    std::uint64_t m_lastRequestNumber = 0; ///< Number of the current request; rows in answers to earlier requests are still applied.
+    Core::BootTime m_failedSince; ///< Time of the first failure; valid while m_failures is not 0.
+    Core::BootTime m_lastPeerUpdateAt; ///< Time of the last new data from another process.
+    Core::TimePoint m_pollDeadline{}; ///< Time until which pollNow() sends no further request.
+    bool m_isHistoryKnown = false; ///< Whether changes after the revision can be requested; otherwise the whole table has to be read.
+    bool m_wasHistoryLost = false; ///< Whether the history was lost since changes were last received.
+    bool m_isLost = false; ///< Whether sourceLost() was reported: neither this process nor its peers reach the store.
+    std::uint32_t m_failures = 0; ///< Number of failures since the store last answered.
     Core::Lifetime m_lifetime;
 };
 
--- a/src/libs/store/tableservice.h
+++ b/src/libs/store/tableservice.h
@@ -13,44 +13,45 @@
 
 namespace Verbena::Store {
 
-/// \brief A row of the platform's table; a deleted row stays as a tombstone with its revision.
+/// \brief Row of the platform's table. A deleted row stays as a tombstone with its revision.
 struct TableRow
 {
     std::string key;
     std::string value;
-    std::uint64_t revision = 0; ///< Of the whole table at the row's last commit; only ever goes up.
+    std::uint64_t revision = 0; ///< Revision of the whole table at the row's last commit; never decreases.
     bool isDeleted = false;
-    std::optional<StoreTime> committedAfter = {}; ///< The row was written later than that; nothing if that is not known.
+    std::optional<StoreTime> committedAfter = {}; ///< Store time after which the row was written; nothing if unknown.
 };
 
-/// \brief One write of a conditional commit.
+/// \brief Write of one row in a conditional commit.
 struct RowWrite
 {
     std::string key;
-    std::optional<std::string> value; ///< Nothing deletes the row.
-    /// The commit fails unless the row stands at this revision; 0: there never was such a row. A tombstone stands at its own
-    /// revision, so that a late create cannot bring back what was deleted.
+    std::optional<std::string> value; ///< New value; nothing deletes the row.
+    ///
+    /// The commit fails unless the row is at this revision; 0 means that the row never existed. A tombstone has its own revision, so that a late create
+    /// cannot restore a deleted row.
     std::optional<std::uint64_t> expectedRevision;
 };
 
-/// \brief How a commit ended.
+/// \brief Outcome of a commit.
 enum class CommitOutcome {
     Committed,
-    Conflict, ///< A row stands at another revision; nothing was written.
-    Unknown, ///< The answer was lost: it may have been written or not. Read back to learn which.
-    NotSent, ///< Budget, outage or deadline kept it here: nothing was written.
+    Conflict, ///< A row is at another revision; nothing was written.
+    Unknown, ///< The answer was lost, so the rows may have been written or not; read them again to find out.
+    NotSent, ///< Nothing was written because of the budget, an outage or the deadline.
 };
 
-/// \brief The answer to a commit.
+/// \brief Answer to a commit.
 struct CommitAnswer
 {
     CommitOutcome outcome = CommitOutcome::Unknown;
-    std::uint64_t revision = 0; ///< Of the table after a commit that succeeded.
-    std::vector<TableRow> current; ///< After a conflict: the rows that differ, as they stand.
-    std::string detail; ///< A sentence for logs, with step and peer.
+    std::uint64_t revision = 0; ///< Revision of the table after a successful commit.
+    std::vector<TableRow> current; ///< Current state of the rows that caused a conflict.
+    std::string detail; ///< Description for logs, with step and peer.
 };
 
-/// \brief The platform's transactional table service.
+/// \brief Interface to the platform's transactional table service.
 class TableService
 {
 public:
@@ -59,10 +60,10 @@
 
     virtual ~TableService() = default;
 
-    /// \brief Reads rows by key; rows that never were are left out.
+    /// \brief Reads rows by key; rows that never existed are left out.
     virtual void get(const std::vector<std::string> &keys, Core::TimePoint deadline, RowsCallback done) = 0;
 
-    /// \brief Reads the rows below \a prefix that changed after \a sinceRevision, by rising revision, at most \a limit.
+    /// \brief Reads the rows whose key starts with \a prefix and that changed after \a sinceRevision, by ascending revision, at most \a limit.
     virtual void scan(const std::string &prefix, std::uint64_t sinceRevision, std::size_t limit, Core::TimePoint deadline, RowsCallback done) = 0;
 
     /// \brief Writes all rows or none.
--- /dev/null
+++ b/src/libs/store/tableversion.cpp
@@ -0,0 +1,103 @@
+#include "tableversion.h"
+
+#include <algorithm>
+#include <utility>
+
+namespace Verbena::Store {
+
+namespace {
+
+// Returns the store time up to which \a page is complete.
+std::optional<StoreTime> validityTime(const RowPage &page)
+{
+    return page.answeredAt.has_value() ? page.answeredAt : page.verifiedAt;
+}
+
+} // namespace
+
+TableVersion::TableVersion(std::string table)
+    : m_table(std::move(table))
+{
+}
+
+std::uint64_t TableVersion::revision() const
+{
+    return m_revision;
+}
+
+std::optional<StoreTime> TableVersion::verifiedAt() const
+{
+    return m_verifiedAt;
+}
+
+bool TableVersion::isRead() const
+{
+    return m_isRead;
+}
+
+// Deletions before the whole table was read are unknown, so processes at an earlier revision must not be told that nothing changed.
+TableVersion::ApplyResult TableVersion::applyTable(const RowPage &page, std::uint64_t requestedRevision)
+{
+    if (page.revision < requestedRevision) {
+        return ApplyResult::Stale;
+    }
+    if (page.revision < m_revision) {
+        return ApplyResult::Superseded;
+    }
+    m_isRead = true;
+    m_revision = page.revision;
+    m_changedRevision = page.revision;
+    advanceVerifiedAt(validityTime(page));
+    return ApplyResult::Applied;
+}
+
+TableVersion::ApplyResult TableVersion::applyChanges(RowPage &page, std::uint64_t requestedRevision)
+{
+    if (page.revision < requestedRevision) {
+        return ApplyResult::Stale;
+    }
+    std::erase_if(page.rows, [this](const TableRow &row) { return row.revision <= m_revision; });
+    for (const TableRow &row : page.rows) {
+        m_changedRevision = std::max(m_changedRevision, row.revision);
+    }
+    const bool isSuperseded = page.revision < m_revision;
+    page.revision = std::max(page.revision, m_revision);
+    m_revision = page.revision;
+    advanceVerifiedAt(validityTime(page));
+    return isSuperseded ? ApplyResult::Superseded : ApplyResult::Applied;
+}
+
+TableDigest TableVersion::digest() const
+{
+    return {m_table, m_changedRevision, m_revision, m_verifiedAt};
+}
+
+TableVersion::Comparison TableVersion::compare(const TableDigest &theirs) const
+{
+    if (theirs.changedRevision > m_revision) {
+        return Comparison::IsNewer;
+    }
+    const bool isLater = theirs.verifiedAt.has_value() && (!m_verifiedAt.has_value() || *theirs.verifiedAt > *m_verifiedAt);
+    return m_isRead && isLater ? Comparison::Confirms : Comparison::NotNewer;
+}
+
+// A process that has all changes before a later time, and none after the revision applied here, proves that there were none.
+bool TableVersion::confirm(const TableDigest &theirs)
+{
+    if (compare(theirs) != Comparison::Confirms) {
+        return false;
+    }
+    m_revision = std::max(m_revision, theirs.coveredRevision);
+    return advanceVerifiedAt(theirs.verifiedAt);
+}
+
+bool TableVersion::advanceVerifiedAt(const std::optional<StoreTime> &time)
+{
+    if (!time.has_value() || (m_verifiedAt.has_value() && *time <= *m_verifiedAt)) {
+        return false;
+    }
+    m_verifiedAt = time;
+    return true;
+}
+
+} // namespace Verbena::Store
--- a/src/libs/weights/weightsfailover.cpp
+++ b/src/libs/weights/weightsfailover.cpp
@@ -91,7 +91,7 @@
     const auto take = [this, askedAt](const Core::Result<Store::RowPage> &page) {
         m_isAskingStore = false;
         const Core::TimePoint now = m_loop.now();
-        if (!page || page.value().isSecondHand) {
+        if (!page || page.value().isFromPeer) {
             // What another router knows of the rows says nothing of now.
             m_nextQuestion = now + storeRetry;
             return;
--- a/src/libs/weights/weightskeeper.cpp
+++ b/src/libs/weights/weightskeeper.cpp
@@ -130,7 +130,7 @@
 void WeightsKeeper::takeDeclarations(const std::string &table, const Store::RowPage &page, const Decisions::WeightsAnnouncement &naming)
 {
     if (page.clock.has_value()) {
-        m_storeClock.note(*page.clock);
+        m_storeClock.addReading(*page.clock);
     }
     for (const Store::TableRow &row : page.rows) {
         const auto decoded = m_decoder.decode(table, row);
@@ -167,7 +167,7 @@
 {
 }
 
-void WeightsKeeper::answerRefused(const std::string &, const Store::RefusedAnswer &)
+void WeightsKeeper::staleAnswerReceived(const std::string &, const Store::StaleAnswer &)
 {
 }
 
--- a/src/libs/weights/weightskeeper.h
+++ b/src/libs/weights/weightskeeper.h
@@ -65,7 +65,7 @@
     void sourceLost(const std::string &table, const Core::Error &error) override;
     void sourceRegained(const std::string &table) override;
     void tableVerified(const std::string &table, Store::StoreTime verifiedAt, std::uint64_t coveredRevision) override;
-    void answerRefused(const std::string &table, const Store::RefusedAnswer &answer) override;
+    void staleAnswerReceived(const std::string &table, const Store::StaleAnswer &answer) override;
     void takeDeclarations(const std::string &table, const Store::RowPage &page, const Decisions::WeightsAnnouncement &naming);
     Decisions::WeightsAnnouncement dated(const Decisions::WeightsAnnouncement &naming, const Store::TableRow &row) const;
     void takeWatch(const verbena::wire::EngineWatch &watch);
--- a/tests/auto/relay/tablemodel.cpp
+++ b/tests/auto/relay/tablemodel.cpp
@@ -8,36 +8,37 @@
 using std::chrono::milliseconds;
 using Store::RowPage;
 using Store::StoreTime;
-using Comparison = Store::TableKnowledge::Comparison;
+using Comparison = Store::TableVersion::Comparison;
 
 namespace {
 
 constexpr milliseconds bound{3000};
 
-// How far in the past a store is that answers from there.
-constexpr milliseconds past{4000};
+// Age of the answers of a stale store.
+constexpr milliseconds staleness{4000};
 
-// As TableGossip does.
-constexpr std::size_t toldAtOnce = 3;
-constexpr std::size_t toldWhenAged = 8;
+// Same numbers of peers as in TableGossip.
+constexpr std::size_t digestPeers = 3;
+constexpr std::size_t digestPeersWhenOutdated = 8;
 constexpr std::size_t keys = 4;
 
-// A follower asks an elected router once in a third of the bound, and the store more often while it does not answer.
-constexpr std::uint64_t stepsBetweenQuestions = 8;
+// A follower sends a request to an elected router once per third of the bound, and more often to the store while it does not answer.
+constexpr std::uint64_t stepsBetweenRequests = 8;
 
-// As AgeWatch does, at the latest.
+// Latest renewal age of AgeWatch.
 constexpr milliseconds renewAge = bound * 6 / 10;
 constexpr std::uint64_t stepsBetweenRenewals = 2;
 
-// One datagram of so many is lost.
+// One of this number of datagrams is lost.
 constexpr std::uint64_t lossRate = 10;
 
 } // namespace
 
-std::ostream &operator<<(std::ostream &out, const TableTrouble &trouble)
+std::ostream &operator<<(std::ostream &out, const TableModelEvent &event)
 {
-    static constexpr std::array names{"silent", "speaks", "past", "present", "forgets", "dark", "light", "restart", "belief", "change"};
-    return out << names.at(static_cast<std::size_t>(trouble.kind)) << ' ' << trouble.router;
+    static constexpr std::array names{
+        "unreachable", "reachable", "stale", "current", "drops-history", "disconnect", "reconnect", "restart", "wrong-elected", "change"};
+    return out << names.at(static_cast<std::size_t>(event.kind)) << ' ' << event.router;
 }
 
 TableModel::TableModel(std::size_t routers, std::uint64_t seed)
@@ -46,11 +47,11 @@
     , m_routers(routers)
 {
     for (std::size_t index = 0; index < routers; ++index) {
-        m_routers[index].asks = index % 2 == 0 ? index : 0;
+        m_routers[index].electedRouter = index % 2 == 0 ? index : 0;
         m_routers[index].startedAt = m_now;
-        m_routers[index].servedSince = m_now;
+        m_routers[index].reachableSince = m_now;
     }
-    apply({TableTrouble::Kind::Change, 0});
+    apply({TableModelEvent::Kind::Change, 0});
 }
 
 std::size_t TableModel::size() const
@@ -58,62 +59,63 @@
     return m_routers.size();
 }
 
-void TableModel::apply(const TableTrouble &trouble)
+void TableModel::apply(const TableModelEvent &event)
 {
-    Router &router = m_routers[trouble.router % m_routers.size()];
-    switch (trouble.kind) {
-    case TableTrouble::Kind::StoreSilentTo:
-        if (trouble.router >= m_routers.size()) {
+    Router &router = m_routers[event.router % m_routers.size()];
+    switch (event.kind) {
+    case TableModelEvent::Kind::StoreUnreachable:
+        if (event.router >= m_routers.size()) {
             for (Router &all : m_routers) {
-                all.isHeard = false;
+                all.isStoreReachable = false;
             }
         }
-        router.isHeard = false;
+        router.isStoreReachable = false;
         break;
-    case TableTrouble::Kind::StoreSpeaks:
+    case TableModelEvent::Kind::StoreReachable:
         for (Router &all : m_routers) {
-            all.isHeard = true;
+            all.isStoreReachable = true;
         }
         break;
-    case TableTrouble::Kind::StoreFromThePast:
-        m_isFromThePast = true;
+    case TableModelEvent::Kind::StoreStale:
+        m_isStale = true;
         break;
-    case TableTrouble::Kind::StorePresent:
-        m_isFromThePast = false;
+    case TableModelEvent::Kind::StoreCurrent:
+        m_isStale = false;
         break;
-    case TableTrouble::Kind::StoreForgets:
-        m_forgotten = m_revision;
+    case TableModelEvent::Kind::StoreDropsHistory:
+        m_historyStart = m_revision;
         break;
-    case TableTrouble::Kind::Dark:
-        router.isDark = true;
+    case TableModelEvent::Kind::Disconnect:
+        router.isDisconnected = true;
         break;
-    case TableTrouble::Kind::Light:
-        router.servedSince = router.isDark ? m_now : router.servedSince;
-        router.isDark = false;
+    case TableModelEvent::Kind::Reconnect:
+        router.reachableSince = router.isDisconnected ? m_now : router.reachableSince;
+        router.isDisconnected = false;
         break;
-    case TableTrouble::Kind::Restart:
-        router.knowledge = Store::TableKnowledge("t");
+    case TableModelEvent::Kind::Restart:
+        router.version = Store::TableVersion("t");
         router.mirror = Store::RowMirror();
         router.isHistoryKnown = false;
         router.startedAt = m_now;
         break;
-    case TableTrouble::Kind::WrongBelief:
-        router.asks = m_random.next() % m_routers.size();
+    case TableModelEvent::Kind::WrongElectedRouter:
+        router.electedRouter = m_random.next() % m_routers.size();
         break;
-    case TableTrouble::Kind::Change: {
+    case TableModelEvent::Kind::Change: {
         const std::string key(1, static_cast<char>('a' + m_random.next() % keys));
         const std::uint64_t revision = m_revision += 1 + m_random.next() % 3;
         m_changes.push_back({revision, m_now, {key, std::to_string(revision), revision, m_random.next() % 5 == 0}});
         break;
     }
     }
-    m_servedSince = isServed() ? m_servedSince.value_or(m_now) : std::optional<StoreTime>();
+    m_reachableSince = isStoreReachable() ? m_reachableSince.value_or(m_now) : std::optional<StoreTime>();
 }
 
-// Whether the store tells anybody who can talk what is so now.
-bool TableModel::isServed() const
+// Returns whether the store gives current answers to any connected router.
+bool TableModel::isStoreReachable() const
 {
-    return !m_isFromThePast && std::any_of(m_routers.begin(), m_routers.end(), [](const Router &router) { return router.isHeard && !router.isDark; });
+    return !m_isStale
+        && std::any_of(m_routers.begin(), m_routers.end(), [](const Router &router) { return router.isStoreReachable && !router.isDisconnected; });
 }
 
 std::uint64_t TableModel::revisionAt(StoreTime at) const
@@ -128,7 +130,7 @@
     return revision;
 }
 
-RowPage TableModel::whole(StoreTime at) const
+RowPage TableModel::wholeTable(StoreTime at) const
 {
     std::map<std::string, Store::TableRow> rows;
     for (const Change &change : m_changes) {
@@ -142,13 +144,13 @@
             page.rows.push_back(row);
         }
     }
-    page.saidAt = at;
+    page.answeredAt = at;
     return page;
 }
 
 RowPage TableModel::changesAfter(std::uint64_t revision, StoreTime at) const
 {
-    if (revision < m_forgotten) {
+    if (revision < m_historyStart) {
         return {{}, 0, true};
     }
     std::map<std::string, Store::TableRow> rows;
@@ -161,110 +163,110 @@
     for (const auto &[key, row] : rows) {
         page.rows.push_back(row);
     }
-    page.saidAt = at;
+    page.answeredAt = at;
     return page;
 }
 
 void TableModel::step()
 {
     m_now += m_times.digestPeriod / 4;
-    // The store is used by others too, so that its revision goes on.
+    // Other tables of the store change too, so that its revision increases.
     m_revision += m_random.next() % 2;
     ++m_steps;
     for (std::size_t index = 0; index < m_routers.size(); ++index) {
         Router &router = m_routers[index];
-        if (router.isDark) {
+        if (router.isDisconnected) {
             continue;
         }
         if ((m_steps + index) % 4 == 0) {
-            tell(index);
+            sendDigests(index);
         }
         if ((m_steps + index) % stepsBetweenRenewals == 0 && claimedAge(index).value_or(bound) > renewAge) {
-            askStore(router);
+            requestFromStore(router);
         }
-        if ((m_steps + index) % stepsBetweenQuestions != 0) {
+        if ((m_steps + index) % stepsBetweenRequests != 0) {
             continue;
         }
-        if (router.asks == index || !router.knowledge.isRead()) {
-            askStore(router);
+        if (router.electedRouter == index || !router.version.isRead()) {
+            requestFromStore(router);
         } else {
-            askElected(router);
+            requestFromElected(router);
         }
     }
 }
 
-void TableModel::askStore(Router &router)
+void TableModel::requestFromStore(Router &router)
 {
-    if (!router.isHeard) {
+    if (!router.isStoreReachable) {
         return;
     }
-    const StoreTime at = m_isFromThePast ? m_now - past : m_now;
-    const std::uint64_t asked = router.knowledge.revision();
+    const StoreTime at = m_isStale ? m_now - staleness : m_now;
+    const std::uint64_t requestedRevision = router.version.revision();
     if (!router.isHistoryKnown) {
-        take(router, whole(at), asked, true);
+        apply(router, wholeTable(at), requestedRevision, true);
         return;
     }
-    RowPage page = changesAfter(asked, at);
+    RowPage page = changesAfter(requestedRevision, at);
     if (page.isHistoryLost) {
         router.isHistoryKnown = false;
-        take(router, whole(at), asked, true);
+        apply(router, wholeTable(at), requestedRevision, true);
         return;
     }
-    take(router, std::move(page), asked, false);
+    apply(router, std::move(page), requestedRevision, false);
 }
 
-void TableModel::askElected(Router &router)
+void TableModel::requestFromElected(Router &router)
 {
-    const Router &elected = m_routers[router.asks];
+    const Router &elected = m_routers[router.electedRouter];
     const std::optional<StoreTime> verifiedAt = elected.mirror.verifiedAt("t");
-    const bool isFresh = verifiedAt.has_value() && m_now - *verifiedAt <= m_times.sharedAge;
-    if (elected.isDark || !isFresh) {
-        askStore(router);
+    const bool isFresh = verifiedAt.has_value() && m_now - *verifiedAt <= m_times.sharedMaximumAge;
+    if (elected.isDisconnected || !isFresh) {
+        requestFromStore(router);
         return;
     }
     if (!fetch(router, elected)) {
-        askStore(router);
+        requestFromStore(router);
     }
 }
 
 bool TableModel::fetch(Router &router, const Router &from)
 {
-    std::uint64_t asked = router.knowledge.revision();
-    RowPage page = from.mirror.since("t", asked);
+    std::uint64_t requestedRevision = router.version.revision();
+    RowPage page = from.mirror.changesSince("t", requestedRevision);
     if (page.isHistoryLost) {
-        asked = 0;
-        page = from.mirror.since("t", 0);
+        requestedRevision = 0;
+        page = from.mirror.changesSince("t", 0);
     }
-    if (page.revision < router.knowledge.revision() || (asked != 0 && !router.knowledge.isRead())) {
+    if (page.revision < router.version.revision() || (requestedRevision != 0 && !router.version.isRead())) {
         return false;
     }
-    take(router, std::move(page), asked, asked == 0);
+    apply(router, std::move(page), requestedRevision, requestedRevision == 0);
     return true;
 }
 
-void TableModel::take(Router &router, RowPage page, std::uint64_t asked, bool isWhole)
+void TableModel::apply(Router &router, RowPage page, std::uint64_t requestedRevision, bool isWhole)
 {
-    const auto verdict = isWhole ? router.knowledge.takeTable(page, asked) : router.knowledge.takeChanges(page, asked);
-    if (verdict == Store::TableKnowledge::Verdict::FromThePast) {
+    const auto result = isWhole ? router.version.applyTable(page, requestedRevision) : router.version.applyChanges(page, requestedRevision);
+    if (result == Store::TableVersion::ApplyResult::Stale) {
         return;
     }
-    if (isWhole && verdict == Store::TableKnowledge::Verdict::Taken) {
+    if (isWhole && result == Store::TableVersion::ApplyResult::Applied) {
         router.mirror.replace("t", page);
     } else if (!isWhole && !page.rows.empty()) {
-        router.mirror.change("t", page);
+        router.mirror.applyChanges("t", page);
     }
     router.isHistoryKnown = true;
-    noteVerified(router);
+    setVerified(router);
 }
 
-void TableModel::noteVerified(Router &router)
+void TableModel::setVerified(Router &router)
 {
-    if (router.knowledge.verifiedAt().has_value()) {
-        router.mirror.noteVerified("t", *router.knowledge.verifiedAt(), router.knowledge.revision());
+    if (router.version.verifiedAt().has_value()) {
+        router.mirror.setVerified("t", *router.version.verifiedAt(), router.version.revision());
     }
 }
 
-void TableModel::tell(std::size_t index)
+void TableModel::sendDigests(std::size_t index)
 {
     std::vector<std::string> peers;
     for (std::size_t peer = 0; peer < m_routers.size(); ++peer) {
@@ -273,11 +275,11 @@
         }
     }
     const std::optional<milliseconds> age = claimedAge(index);
-    const bool isAged = !age.has_value() || *age > m_times.sharedAge;
-    for (const std::string &drawn : m_random.sample(peers, isAged ? toldWhenAged : toldAtOnce)) {
-        const std::size_t peer = std::stoul(drawn);
-        if (!m_routers[peer].isDark && m_random.next() % lossRate != 0) {
-            receive(peer, m_routers[index].knowledge.digest(), index, false);
+    const bool isOutdated = !age.has_value() || *age > m_times.sharedMaximumAge;
+    for (const std::string &sampled : m_random.sample(peers, isOutdated ? digestPeersWhenOutdated : digestPeers)) {
+        const std::size_t peer = std::stoul(sampled);
+        if (!m_routers[peer].isDisconnected && m_random.next() % lossRate != 0) {
+            receive(peer, m_routers[index].version.digest(), index, false);
         }
     }
 }
@@ -285,17 +287,17 @@
 void TableModel::receive(std::size_t index, const Store::TableDigest &digest, std::size_t from, bool isReply)
 {
     Router &router = m_routers[index];
-    switch (router.knowledge.compare(digest)) {
+    switch (router.version.compare(digest)) {
     case Comparison::Confirms:
-        router.knowledge.confirm(digest);
-        noteVerified(router);
+        router.version.confirm(digest);
+        setVerified(router);
         return;
-    case Comparison::KnowsMore:
+    case Comparison::IsNewer:
         fetch(router, m_routers[from]);
         return;
-    case Comparison::Nothing:
+    case Comparison::NotNewer:
         if (!isReply) {
-            receive(from, router.knowledge.digest(), index, true);
+            receive(from, router.version.digest(), index, true);
         }
         return;
     }
@@ -304,45 +306,45 @@
 bool TableModel::isClaimTrue(std::size_t index) const
 {
     const Router &router = m_routers[index];
-    const std::uint64_t known = router.knowledge.revision();
-    const std::optional<StoreTime> verifiedAt = router.knowledge.verifiedAt();
-    std::map<std::string, std::uint64_t> wanted;
+    const std::uint64_t revision = router.version.revision();
+    const std::optional<StoreTime> verifiedAt = router.version.verifiedAt();
+    std::map<std::string, std::uint64_t> expected;
     for (const Change &change : m_changes) {
-        if (change.revision > known && verifiedAt.has_value() && change.madeAt < *verifiedAt) {
+        if (change.revision > revision && verifiedAt.has_value() && change.madeAt < *verifiedAt) {
             return false;
         }
-        if (change.revision <= known && change.row.isDeleted) {
-            wanted.erase(change.row.key);
-        } else if (change.revision <= known) {
-            wanted[change.row.key] = change.revision;
+        if (change.revision <= revision && change.row.isDeleted) {
+            expected.erase(change.row.key);
+        } else if (change.revision <= revision) {
+            expected[change.row.key] = change.revision;
         }
     }
-    std::map<std::string, std::uint64_t> held;
-    for (const Store::TableRow &row : router.mirror.since("t", 0).rows) {
-        held[row.key] = row.revision;
+    std::map<std::string, std::uint64_t> actual;
+    for (const Store::TableRow &row : router.mirror.changesSince("t", 0).rows) {
+        actual[row.key] = row.revision;
     }
-    return held == wanted;
+    return actual == expected;
 }
 
 milliseconds TableModel::lag(std::size_t index) const
 {
-    const std::uint64_t known = m_routers[index].knowledge.revision();
-    const auto lacking = std::find_if(m_changes.begin(), m_changes.end(), [known](const Change &change) { return change.revision > known; });
-    return lacking == m_changes.end() ? milliseconds(0) : m_now - lacking->madeAt;
+    const std::uint64_t revision = m_routers[index].version.revision();
+    const auto missing = std::find_if(m_changes.begin(), m_changes.end(), [revision](const Change &change) { return change.revision > revision; });
+    return missing == m_changes.end() ? milliseconds(0) : m_now - missing->madeAt;
 }
 
-std::optional<milliseconds> TableModel::servedFor(std::size_t index) const
+std::optional<milliseconds> TableModel::timeReachable(std::size_t index) const
 {
     const Router &router = m_routers[index];
-    if (router.isDark || !m_servedSince.has_value() || !router.knowledge.isRead()) {
+    if (router.isDisconnected || !m_reachableSince.has_value() || !router.version.isRead()) {
         return std::nullopt;
     }
-    return m_now - std::max({*m_servedSince, router.servedSince, router.startedAt});
+    return m_now - std::max({*m_reachableSince, router.reachableSince, router.startedAt});
 }
 
 std::optional<milliseconds> TableModel::claimedAge(std::size_t index) const
 {
-    const std::optional<StoreTime> verifiedAt = m_routers[index].knowledge.verifiedAt();
+    const std::optional<StoreTime> verifiedAt = m_routers[index].version.verifiedAt();
     return verifiedAt.has_value() ? std::optional(m_now - *verifiedAt) : std::nullopt;
 }
 
--- a/tests/auto/relay/tablemodel.h
+++ b/tests/auto/relay/tablemodel.h
@@ -3,7 +3,7 @@
 #include <decisions/spread/randomsource.h>
 #include <store/followtimes.h>
 #include <store/rowmirror.h>
-#include <store/tableknowledge.h>
+#include <store/tableversion.h>
 
 #include <cstdint>
 #include <map>
@@ -14,52 +14,54 @@
 
 namespace Verbena::Test {
 
-/// \brief What may happen to the model at one step.
-struct TableTrouble
+/// \brief Event that may happen to the model between steps.
+struct TableModelEvent
 {
     enum class Kind {
-        StoreSilentTo, ///< One router, or all.
-        StoreSpeaks, ///< To all again.
-        StoreFromThePast, ///< Reads answer what was so seconds ago.
-        StorePresent,
-        StoreForgets, ///< Its history.
-        Dark, ///< One router neither hears nor answers anybody.
-        Light,
-        Restart, ///< One router knows nothing.
-        WrongBelief, ///< One router asks one that is not elected, or itself, in the store's place.
-        Change,
+        StoreUnreachable, ///< The store does not answer one router, or any router.
+        StoreReachable, ///< The store answers all routers again.
+        StoreStale, ///< The store answers with its state of seconds ago.
+        StoreCurrent, ///< The store answers with its current state again.
+        StoreDropsHistory, ///< The store drops its history of changes.
+        Disconnect, ///< One router neither receives nor answers messages.
+        Reconnect, ///< The router receives and answers messages again.
+        Restart, ///< One router restarts without data.
+        WrongElectedRouter, ///< One router sends its requests to one that is not elected, or to the store itself.
+        Change, ///< A row changes.
     };
 
     Kind kind = Kind::Change;
     std::size_t router = 0;
 };
 
-/// \brief For what a property prints of a case that fails.
-std::ostream &operator<<(std::ostream &out, const TableTrouble &trouble);
+/// \brief Prints \a event in the report of a failed property.
+std::ostream &operator<<(std::ostream &out, const TableModelEvent &event);
 
-/// \brief Routers that follow one table and tell each other how much they know, in virtual time; messages take no time and may be lost.
+/// \brief Model of routers that follow one table and exchange digests, in virtual time; messages take no time and may be lost.
 class TableModel
 {
 public:
     TableModel(std::size_t routers, std::uint64_t seed);
 
-    void apply(const TableTrouble &trouble);
+    /// \brief Applies \a event; it affects the router with the number event.router modulo size().
+    void apply(const TableModelEvent &event);
 
-    /// \brief Lets a quarter of a digest's period pass.
+    /// \brief Advances the time by a quarter of the digest period.
     void step();
 
     std::size_t size() const;
 
-    /// \brief Whether router \a index holds just what the table was at its revision, and all that the store acknowledged before the moment that it claims.
+    /// \brief Returns whether router \a index has exactly the rows of the table at its revision, and all changes that the store acknowledged before the time
+    /// that it claims.
     bool isClaimTrue(std::size_t index) const;
 
-    /// \brief How long ago the store acknowledged the oldest change that router \a index lacks.
+    /// \brief Returns how long ago the store acknowledged the oldest change that router \a index lacks.
     std::chrono::milliseconds lag(std::size_t index) const;
 
-    /// \brief Since when router \a index and another one that the store answers have been able to talk, to each other and it to the store.
-    std::optional<std::chrono::milliseconds> servedFor(std::size_t index) const;
+    /// \brief Returns for how long router \a index has been able to reach the store, directly or through another router; nothing if it cannot.
+    std::optional<std::chrono::milliseconds> timeReachable(std::size_t index) const;
 
-    /// \brief How old it takes its knowledge for.
+    /// \brief Returns the maximum age that router \a index claims for its rows; nothing before they were verified.
     std::optional<std::chrono::milliseconds> claimedAge(std::size_t index) const;
 
 private:
@@ -72,27 +74,27 @@
 
     struct Router
     {
-        Store::TableKnowledge knowledge{"t"};
+        Store::TableVersion version{"t"};
         Store::RowMirror mirror;
         bool isHistoryKnown = false;
-        bool isHeard = true; ///< By the store.
-        bool isDark = false;
-        std::size_t asks = 0; ///< Whom it takes for elected; itself: the store.
+        bool isStoreReachable = true; ///< Whether the store answers this router.
+        bool isDisconnected = false;
+        std::size_t electedRouter = 0; ///< Router that it assumes to be elected; its own number means that it asks the store.
         Store::StoreTime startedAt;
-        Store::StoreTime servedSince;
+        Store::StoreTime reachableSince;
     };
 
-    Store::RowPage whole(Store::StoreTime at) const;
+    Store::RowPage wholeTable(Store::StoreTime at) const;
     Store::RowPage changesAfter(std::uint64_t revision, Store::StoreTime at) const;
     std::uint64_t revisionAt(Store::StoreTime at) const;
-    void askStore(Router &router);
-    void askElected(Router &router);
-    void take(Router &router, Store::RowPage page, std::uint64_t asked, bool isWhole);
-    void noteVerified(Router &router);
-    void tell(std::size_t index);
+    void requestFromStore(Router &router);
+    void requestFromElected(Router &router);
+    void apply(Router &router, Store::RowPage page, std::uint64_t requestedRevision, bool isWhole);
+    void setVerified(Router &router);
+    void sendDigests(std::size_t index);
     void receive(std::size_t index, const Store::TableDigest &digest, std::size_t from, bool isReply);
     bool fetch(Router &router, const Router &from);
-    bool isServed() const;
+    bool isStoreReachable() const;
 
     Store::FollowTimes m_times;
     Decisions::RandomSource m_random;
@@ -100,9 +102,9 @@
     std::vector<Change> m_changes;
     Store::StoreTime m_now{std::chrono::seconds(1000)};
     std::uint64_t m_revision = 10;
-    std::uint64_t m_forgotten = 0;
-    bool m_isFromThePast = false;
-    std::optional<Store::StoreTime> m_servedSince;
+    std::uint64_t m_historyStart = 0;
+    bool m_isStale = false;
+    std::optional<Store::StoreTime> m_reachableSince;
     std::uint64_t m_steps = 0;
 };
 
--- a/tests/auto/relay/tst_peerrows.cpp
+++ b/tests/auto/relay/tst_peerrows.cpp
@@ -44,7 +44,7 @@
         , m_refused(std::move(PeerRows::create(*m_loop, m_network + "2", port, m_store, 2).value()))
     {
         m_served->mirror().replace("op", {{{"a", "1", 3, false}, {"b", "1", 5, false}}, 5, false});
-        m_served->mirror().change("op", {{{"a", "2", 8, false}, {"b", "", 9, true}}, 9, false});
+        m_served->mirror().applyChanges("op", {{{"a", "2", 8, false}, {"b", "", 9, true}}, 9, false});
     }
 
     Core::Result<Store::RowPage> follow(std::uint64_t after)
@@ -121,7 +121,7 @@
         , m_asking(std::move(PeerRows::create(*m_loop, m_network + "2", port, m_refusing, 2).value()))
     {
         m_store.page = {{{"a", "1", 3, false}}, 7, false};
-        m_store.page.saidAt = Store::StoreTime(100s);
+        m_store.page.answeredAt = Store::StoreTime(100s);
         m_elected->mirror().replace("op", {m_store.page.rows, 3, false});
     }
 
@@ -129,7 +129,7 @@
     void hear()
     {
         const auto take = [this](const Core::Result<Store::RowPage> &page) {
-            m_elected->mirror().noteVerified("op", *page.value().saidAt, page.value().revision);
+            m_elected->mirror().setVerified("op", *page.value().answeredAt, page.value().revision);
         };
         m_elected->awaitChanges("op", 3, m_loop->now(), m_loop->now() + 10s, take);
     }
@@ -166,7 +166,7 @@
     // As far as the store has spoken, although nothing of this table changed since.
     EXPECT_EQ(page.value().revision, 7U);
     EXPECT_TRUE(page.value().rows.empty());
-    EXPECT_FALSE(page.value().isSecondHand);
+    EXPECT_FALSE(page.value().isFromPeer);
 }
 
 TEST_F(FreshRowsTest, hearsOfAChangeAsSoonAsTheElectedRouterDoes)
@@ -174,8 +174,8 @@
     hear();
     ask(7, 30s);
     m_store.page = {{{"a", "2", 9, false}}, 9, false};
-    m_store.page.saidAt = Store::StoreTime(100s);
-    m_elected->mirror().change("op", m_store.page);
+    m_store.page.answeredAt = Store::StoreTime(100s);
+    m_elected->mirror().applyChanges("op", m_store.page);
     hear();
     const auto page = answer();
     ASSERT_TRUE(page);
@@ -186,20 +186,20 @@
 // The routers that are not elected hear of new weights from one that is; how old they are must come with them.
 TEST_F(FreshRowsTest, hearsWhenAChangeWasMadeAndWhatTheStoresClockSays)
 {
-    m_store.page.saidAt = Store::StoreTime(100s);
+    m_store.page.answeredAt = Store::StoreTime(100s);
     hear();
     ask(7, 30s);
     m_store.page.rows = {{"a", "2", 9, false, Store::StoreTime(99s)}};
     m_store.page.revision = 9;
-    m_elected->mirror().change("op", m_store.page);
+    m_elected->mirror().applyChanges("op", m_store.page);
     hear();
     const auto page = answer();
     ASSERT_TRUE(page);
     ASSERT_EQ(page.value().rows.size(), 1U);
     EXPECT_EQ(page.value().rows.front().committedAfter, Store::StoreTime(99s));
     ASSERT_TRUE(page.value().clock.has_value());
-    EXPECT_GE(page.value().clock->said, Store::StoreTime(100s));
-    EXPECT_FALSE(page.value().saidAt.has_value());
+    EXPECT_GE(page.value().clock->storeTime, Store::StoreTime(100s));
+    EXPECT_FALSE(page.value().answeredAt.has_value());
 }
 
 // An elected router that is cut off from the store must not keep others from what it says.
@@ -219,7 +219,7 @@
     const Core::TimePoint end = m_loop->now() + 2500ms;
     m_store.page.revision = 5;
     while (m_loop->now() < end) {
-        m_store.page.saidAt = *m_store.page.saidAt + 100ms;
+        m_store.page.answeredAt = *m_store.page.answeredAt + 100ms;
         m_elected->awaitChanges("op", 7, m_loop->now(), m_loop->now() + 10s, [](const Core::Result<Store::RowPage> &) {});
         const Core::TimePoint next = m_loop->now() + 100ms;
         Verbena::Test::runUntil(*m_loop, [this, next] { return m_loop->now() >= next; });
@@ -231,7 +231,7 @@
 // A router that stood still took what it had heard before for news of the present, as its clock had stood still with it.
 TEST_F(FreshRowsTest, takesNothingFromARouterThatKnowsThatTheStoresClockWentOn)
 {
-    m_elected->mirror().noteVerified("op", Store::StoreTime(95s), 7);
+    m_elected->mirror().setVerified("op", Store::StoreTime(95s), 7);
     m_elected->awaitChanges("other", 3, m_loop->now(), m_loop->now() + 10s, [](const Core::Result<Store::RowPage> &) {});
     ask(7, 0ms);
     EXPECT_FALSE(answer());
@@ -249,29 +249,29 @@
 {
     Store::RowMirror mirror;
     mirror.replace("op", {{{"a", "1", 3, false}}, 3, false});
-    mirror.change("op", {{{"a", "2", 4, false, Store::StoreTime(10s)}}, 4, false});
-    mirror.change("op", {{{"a", "3", 5, false, Store::StoreTime(20s)}}, 5, false});
-    EXPECT_EQ(mirror.since("op", 4).rows.at(0).committedAfter, Store::StoreTime(20s));
-    EXPECT_EQ(mirror.since("op", 3).rows.at(0).committedAfter, Store::StoreTime(10s));
-    EXPECT_EQ(mirror.since("op", 0).rows.at(0).committedAfter, std::nullopt);
+    mirror.applyChanges("op", {{{"a", "2", 4, false, Store::StoreTime(10s)}}, 4, false});
+    mirror.applyChanges("op", {{{"a", "3", 5, false, Store::StoreTime(20s)}}, 5, false});
+    EXPECT_EQ(mirror.changesSince("op", 4).rows.at(0).committedAfter, Store::StoreTime(20s));
+    EXPECT_EQ(mirror.changesSince("op", 3).rows.at(0).committedAfter, Store::StoreTime(10s));
+    EXPECT_EQ(mirror.changesSince("op", 0).rows.at(0).committedAfter, std::nullopt);
     // Read again as a whole: the row is the same, and so are its dates.
     mirror.replace("op", {{{"a", "3", 5, false}}, 7, false});
-    EXPECT_EQ(mirror.since("op", 0).rows.at(0).committedAfter, std::nullopt);
+    EXPECT_EQ(mirror.changesSince("op", 0).rows.at(0).committedAfter, std::nullopt);
     for (std::uint64_t revision = 8; revision < 16; ++revision) {
-        mirror.change("op", {{{"a", "4", revision, false, Store::StoreTime(30s)}}, revision, false});
+        mirror.applyChanges("op", {{{"a", "4", revision, false, Store::StoreTime(30s)}}, revision, false});
     }
-    EXPECT_EQ(mirror.since("op", 7).rows.at(0).committedAfter, std::nullopt);
-    EXPECT_EQ(mirror.since("op", 12).rows.at(0).committedAfter, Store::StoreTime(30s));
+    EXPECT_EQ(mirror.changesSince("op", 7).rows.at(0).committedAfter, std::nullopt);
+    EXPECT_EQ(mirror.changesSince("op", 12).rows.at(0).committedAfter, Store::StoreTime(30s));
 }
 
 TEST(RowMirrorTest, saysThatHistoryIsLostBeforeItsFirstWholeReading)
 {
     Store::RowMirror mirror;
     mirror.replace("op", {{{"a", "1", 3, false}}, 5, false});
-    EXPECT_TRUE(mirror.since("op", 4).isHistoryLost);
-    EXPECT_FALSE(mirror.since("op", 5).isHistoryLost);
-    EXPECT_EQ(mirror.since("op", 0).rows.size(), 1U);
-    EXPECT_EQ(mirror.since("other", 0).revision, 0U);
+    EXPECT_TRUE(mirror.changesSince("op", 4).isHistoryLost);
+    EXPECT_FALSE(mirror.changesSince("op", 5).isHistoryLost);
+    EXPECT_EQ(mirror.changesSince("op", 0).rows.size(), 1U);
+    EXPECT_EQ(mirror.changesSince("other", 0).revision, 0U);
 }
 
 } // namespace
--- a/tests/auto/relay/tst_silentpeers.cpp
+++ b/tests/auto/relay/tst_silentpeers.cpp
@@ -60,7 +60,7 @@
     {
         Store::RowPage page = present;
         std::erase_if(page.rows, [after](const Store::TableRow &row) { return row.revision <= after; });
-        page.saidAt = storeNow();
+        page.answeredAt = storeNow();
         done(std::move(page));
     }
 
@@ -91,7 +91,7 @@
     void tableVerified(const std::string &, Store::StoreTime, std::uint64_t) override
     {
     }
-    void answerRefused(const std::string &, const Store::RefusedAnswer &) override
+    void staleAnswerReceived(const std::string &, const Store::StaleAnswer &) override
     {
     }
 
--- a/tests/auto/relay/tst_tablefollower.cpp
+++ b/tests/auto/relay/tst_tablefollower.cpp
@@ -16,46 +16,46 @@
 using namespace std::chrono_literals;
 using std::chrono::milliseconds;
 
-/// A store whose answers a test gives one by one.
+// Store whose answers a test gives one by one.
 class ScriptedSource : public RowSource
 {
 public:
-    struct Question
+    struct Request
     {
         bool isWhole = false;
         std::uint64_t after = 0;
-        Core::TimePoint waitEnd{}; ///< Of a question for changes.
+        Core::TimePoint waitEnd{}; ///< Time until which the store waits for a change; not set for a whole table.
         PageCallback done;
     };
 
     void readTable(const std::string &, Core::TimePoint, PageCallback done) override
     {
-        m_questions.push_back({true, 0, {}, std::move(done)});
+        m_requests.push_back({true, 0, {}, std::move(done)});
     }
 
     void awaitChanges(const std::string &, std::uint64_t revision, Core::TimePoint waitEnd, Core::TimePoint, PageCallback done) override
     {
-        m_questions.push_back({false, revision, waitEnd, std::move(done)});
+        m_requests.push_back({false, revision, waitEnd, std::move(done)});
     }
 
-    bool hasQuestion() const
+    bool hasRequest() const
     {
-        return !m_questions.empty();
+        return !m_requests.empty();
     }
 
-    Question take()
+    Request take()
     {
-        Question question = std::move(m_questions.front());
-        m_questions.pop_front();
-        return question;
+        Request request = std::move(m_requests.front());
+        m_requests.pop_front();
+        return request;
     }
 
 private:
-    std::deque<Question> m_questions;
+    std::deque<Request> m_requests;
 };
 
-/// Keeps the rows as a router would.
-class Mirror : public RowConsumer
+// Keeps the rows like a router.
+class TestMirror : public RowConsumer
 {
 public:
     void replaceRows(const std::string &, const RowPage &page) override
@@ -67,7 +67,7 @@
     void changeRows(const std::string &, const RowPage &page) override
     {
         for (const TableRow &row : page.rows) {
-            m_dates[row.key] = row.committedAfter;
+            m_commitTimes[row.key] = row.committedAfter;
             if (row.isDeleted) {
                 m_rows.erase(row.key);
             } else {
@@ -83,7 +83,7 @@
 
     void sourceRegained(const std::string &) override
     {
-        ++m_returns;
+        ++m_regains;
     }
 
     void tableVerified(const std::string &, StoreTime verifiedAt, std::uint64_t) override
@@ -91,7 +91,7 @@
         m_verifiedAt = verifiedAt;
     }
 
-    void answerRefused(const std::string &, const RefusedAnswer &) override
+    void staleAnswerReceived(const std::string &, const StaleAnswer &) override
     {
     }
 
@@ -100,10 +100,10 @@
         return m_rows;
     }
 
-    /// After which moment of the store's clock the row was written, as far as that is known.
-    std::optional<StoreTime> dateOf(const std::string &key) const
+    // Returns the store time after which the row was written; nothing if unknown.
+    std::optional<StoreTime> committedAfter(const std::string &key) const
     {
-        return m_dates.at(key);
+        return m_commitTimes.at(key);
     }
 
     int losses() const
@@ -111,17 +111,17 @@
         return m_losses;
     }
 
-    int returns() const
+    int regains() const
     {
-        return m_returns;
+        return m_regains;
     }
 
 private:
     std::map<std::string, std::string> m_rows;
-    std::map<std::string, std::optional<StoreTime>> m_dates;
+    std::map<std::string, std::optional<StoreTime>> m_commitTimes;
     std::optional<StoreTime> m_verifiedAt;
     int m_losses = 0;
-    int m_returns = 0;
+    int m_regains = 0;
 };
 
 class TableFollowerTest : public testing::Test
@@ -133,9 +133,9 @@
     {
     }
 
-    ScriptedSource::Question question()
+    ScriptedSource::Request request()
     {
-        while (!m_source.hasQuestion()) {
+        while (!m_source.hasRequest()) {
             m_loop->runOnce();
         }
         return m_source.take();
@@ -146,19 +146,19 @@
         return {std::move(rows), revision, false};
     }
 
-    // As the store itself answers it at \a moment of its clock.
-    static RowPage pageSaid(milliseconds moment, std::uint64_t revision, std::vector<TableRow> rows)
+    // Returns an answer of the store itself at \a time of its clock.
+    static RowPage answeredPage(milliseconds time, std::uint64_t revision, std::vector<TableRow> rows)
     {
-        RowPage said = page(revision, std::move(rows));
-        said.saidAt = StoreTime(moment);
-        return said;
+        RowPage answer = page(revision, std::move(rows));
+        answer.answeredAt = StoreTime(time);
+        return answer;
     }
 
-    void pass(milliseconds span)
+    void wait(milliseconds duration)
     {
         bool isOver = false;
         EventLoop::Timer timer(*m_loop, [&isOver] { isOver = true; });
-        timer.startAt(m_loop->now() + span);
+        timer.startAt(m_loop->now() + duration);
         while (!isOver) {
             m_loop->runOnce();
         }
@@ -166,160 +166,161 @@
 
     std::unique_ptr<EventLoop::Loop> m_loop;
     ScriptedSource m_source;
-    Mirror m_mirror;
+    TestMirror m_mirror;
     std::unique_ptr<TableFollower> m_follower;
 };
 
-const Core::Error away{Core::ErrorCode::Unavailable, "store", "", "It is away."};
+const Core::Error unavailable{Core::ErrorCode::Unavailable, "store", "", "The store is unavailable."};
 
 TEST_F(TableFollowerTest, readsTheTableAndThenItsChanges)
 {
-    question().done(page(5, {{"a", "1", 3, false}, {"b", "1", 5, false}}));
-    auto next = question();
+    request().done(page(5, {{"a", "1", 3, false}, {"b", "1", 5, false}}));
+    auto next = request();
     EXPECT_FALSE(next.isWhole);
     EXPECT_EQ(next.after, 5U);
     next.done(page(7, {{"a", "2", 6, false}, {"b", "", 7, true}}));
     EXPECT_EQ(m_mirror.rows(), (std::map<std::string, std::string>{{"a", "2"}}));
-    EXPECT_EQ(question().after, 7U);
+    EXPECT_EQ(request().after, 7U);
 }
 
-TEST_F(TableFollowerTest, doesNotBelieveAnAnswerFromThePast)
+TEST_F(TableFollowerTest, rejectsStaleAnswers)
 {
-    question().done(page(5, {{"a", "new", 5, false}}));
-    question().done({RowPage{{}, 0, true}});
-    auto whole = question();
+    request().done(page(5, {{"a", "new", 5, false}}));
+    request().done({RowPage{{}, 0, true}});
+    auto whole = request();
     EXPECT_TRUE(whole.isWhole);
     whole.done(page(4, {{"a", "old", 4, false}}));
     EXPECT_EQ(m_mirror.rows().at("a"), "new");
-    auto again = question();
+    auto again = request();
     EXPECT_TRUE(again.isWhole);
     again.done(page(9, {{"a", "newer", 9, false}}));
     EXPECT_EQ(m_mirror.rows().at("a"), "newer");
 }
 
-TEST_F(TableFollowerTest, keepsWhatItKnowsWhileTheStoreIsAwayAndSaysSoOnce)
+TEST_F(TableFollowerTest, keepsRowsWhileTheStoreIsUnavailableAndReportsItOnce)
 {
-    question().done(page(5, {{"a", "1", 5, false}}));
+    request().done(page(5, {{"a", "1", 5, false}}));
     for (int number = 0; number < 3; ++number) {
-        question().done(away);
+        request().done(unavailable);
     }
     EXPECT_EQ(m_mirror.losses(), 1);
     EXPECT_EQ(m_mirror.rows().size(), 1U);
-    question().done(page(6, {{"b", "1", 6, false}}));
-    EXPECT_EQ(m_mirror.returns(), 1);
+    request().done(page(6, {{"b", "1", 6, false}}));
+    EXPECT_EQ(m_mirror.regains(), 1);
     EXPECT_EQ(m_mirror.rows().size(), 2U);
 }
 
-// A store that went silent swallows questions, also in the moment of its return. A long one asked there would hang until its deadline while changes are
-// made, so only the store's own answer shows that it is back.
-TEST_F(TableFollowerTest, asksShortlyUntilTheStoreItselfAnswers)
+// A silent store drops requests, even at the moment when it recovers. A long poll sent then would hang until its deadline while changes are missed, so only
+// the store's own answer shows that it is back.
+TEST_F(TableFollowerTest, sendsRequestsWithoutWaitUntilTheStoreItselfAnswers)
 {
-    RowPage told = page(5, {{"a", "1", 5, false}});
-    told.isSecondHand = true;
-    question().done(told);
+    RowPage fromPeer = page(5, {{"a", "1", 5, false}});
+    fromPeer.isFromPeer = true;
+    request().done(fromPeer);
     EXPECT_EQ(m_mirror.rows().at("a"), "1");
     EXPECT_EQ(m_mirror.losses(), 0);
-    auto first = question();
+    auto first = request();
     EXPECT_LE(first.waitEnd, m_loop->now());
-    told = page(6, {{"a", "2", 6, false}});
-    told.isSecondHand = true;
-    first.done(told);
+    fromPeer = page(6, {{"a", "2", 6, false}});
+    fromPeer.isFromPeer = true;
+    first.done(fromPeer);
     EXPECT_EQ(m_mirror.rows().at("a"), "2");
-    auto second = question();
+    auto second = request();
     EXPECT_LE(second.waitEnd, m_loop->now());
     second.done(page(7, {{"a", "3", 7, false}}));
-    EXPECT_GT(question().waitEnd, m_loop->now() + 1s);
+    EXPECT_GT(request().waitEnd, m_loop->now() + 1s);
 }
 
-// A store that answers reads from before its history begins was asked as fast as it could answer.
-TEST_F(TableFollowerTest, pausesBetweenReadingsOfTheTableWhileHistoryIsLostAgainAndAgain)
+// Guards against requests at full speed to a store whose whole-table answers are older than the start of its history.
+TEST_F(TableFollowerTest, pausesBetweenTableReadsWhileHistoryIsLostRepeatedly)
 {
-    int questions = 0;
+    int requests = 0;
     const Core::TimePoint end = m_loop->now() + 500ms;
     while (m_loop->now() < end) {
-        auto asked = question();
-        ++questions;
-        asked.done(asked.isWhole ? page(5, {}) : RowPage{{}, 0, true});
+        auto received = request();
+        ++requests;
+        received.done(received.isWhole ? page(5, {}) : RowPage{{}, 0, true});
     }
-    EXPECT_LT(questions, 30);
+    EXPECT_LT(requests, 30);
 }
 
-TEST_F(TableFollowerTest, doesNotDateWhatStoodInTheTableBeforeItWasReadFirst)
+TEST_F(TableFollowerTest, setsNoCommitTimeOfRowsInTheFirstRead)
 {
-    question().done(pageSaid(50s, 5, {{"a", "1", 3, false}}));
-    EXPECT_EQ(m_mirror.dateOf("a"), std::nullopt);
+    request().done(answeredPage(50s, 5, {{"a", "1", 3, false}}));
+    EXPECT_EQ(m_mirror.committedAfter("a"), std::nullopt);
 }
 
-// A change that comes while the follower waits for it is as young as the answer, however long the wait was: the store tells those who wait at once.
-TEST_F(TableFollowerTest, datesAChangeByTheAnswerThatTellsItWhileItWaits)
+// The store answers a long poll as soon as something changes, so the change is as recent as the answer, however long the wait was.
+TEST_F(TableFollowerTest, setsCommitTimeByTheAnswerToALongPoll)
 {
-    question().done(pageSaid(50s, 5, {}));
-    question().done(pageSaid(53s, 6, {{"a", "1", 6, false}}));
-    ASSERT_TRUE(m_mirror.dateOf("a").has_value());
-    EXPECT_LE(*m_mirror.dateOf("a"), StoreTime(53s));
-    EXPECT_GT(*m_mirror.dateOf("a"), StoreTime(53s) - 500ms);
+    request().done(answeredPage(50s, 5, {}));
+    request().done(answeredPage(53s, 6, {{"a", "1", 6, false}}));
+    ASSERT_TRUE(m_mirror.committedAfter("a").has_value());
+    EXPECT_LE(*m_mirror.committedAfter("a"), StoreTime(53s));
+    EXPECT_GT(*m_mirror.committedAfter("a"), StoreTime(53s) - 500ms);
 }
 
-// While no question waited at the store, a change may have been made at any moment since its last answer.
-TEST_F(TableFollowerTest, datesAChangeBeforeTheTimeInWhichNobodyWaited)
+// While no long poll was pending, a change may have been made at any time since the last answer.
+TEST_F(TableFollowerTest, setsCommitTimeBeforeAGapBetweenLongPolls)
 {
-    question().done(pageSaid(50s, 5, {}));
-    auto lost = question();
-    pass(300ms);
-    lost.done(away);
-    question().done(pageSaid(50s + 400ms, 6, {{"a", "1", 6, false}}));
-    ASSERT_TRUE(m_mirror.dateOf("a").has_value());
-    EXPECT_LE(*m_mirror.dateOf("a"), StoreTime(50s + 100ms));
-    EXPECT_GE(*m_mirror.dateOf("a"), StoreTime(50s));
+    request().done(answeredPage(50s, 5, {}));
+    auto lost = request();
+    wait(300ms);
+    lost.done(unavailable);
+    request().done(answeredPage(50s + 400ms, 6, {{"a", "1", 6, false}}));
+    ASSERT_TRUE(m_mirror.committedAfter("a").has_value());
+    EXPECT_LE(*m_mirror.committedAfter("a"), StoreTime(50s + 100ms));
+    EXPECT_GE(*m_mirror.committedAfter("a"), StoreTime(50s));
 }
 
-// An answer may be late by seconds: its host was suspended or its link slow. What the store takes in meanwhile is told by the next answer, at once.
-TEST_F(TableFollowerTest, datesAChangeThatWasMadeWhileTheAnswerBeforeWasOnItsWay)
+// An answer may arrive seconds late if its host was suspended or the link is slow. Changes that the store commits meanwhile are in the next answer, which is
+// immediate.
+TEST_F(TableFollowerTest, setsCommitTimeOfAChangeMadeWhileTheLastAnswerWasInTransit)
 {
-    question().done(pageSaid(50s, 5, {}));
-    const auto late = question();
-    pass(400ms);
-    late.done(pageSaid(50s + 20ms, 6, {{"other", "1", 6, false}}));
+    request().done(answeredPage(50s, 5, {}));
+    const auto late = request();
+    wait(400ms);
+    late.done(answeredPage(50s + 20ms, 6, {{"other", "1", 6, false}}));
     const auto made = StoreTime(50s + 50ms);
-    question().done(pageSaid(50s + 420ms, 7, {{"a", "1", 7, false}}));
-    ASSERT_TRUE(m_mirror.dateOf("a").has_value());
-    EXPECT_LE(*m_mirror.dateOf("a"), made);
+    request().done(answeredPage(50s + 420ms, 7, {{"a", "1", 7, false}}));
+    ASSERT_TRUE(m_mirror.committedAfter("a").has_value());
+    EXPECT_LE(*m_mirror.committedAfter("a"), made);
 }
 
-TEST_F(TableFollowerTest, datesWhatIsNewInATableThatIsReadAgainByTheLastAnswerBefore)
+TEST_F(TableFollowerTest, setsCommitTimeOfNewRowsInARereadTableByThePreviousAnswer)
 {
-    question().done(pageSaid(50s, 5, {{"a", "1", 5, false}}));
-    question().done(RowPage{{}, 0, true});
-    question().done(pageSaid(60s, 9, {{"a", "1", 5, false}, {"b", "1", 9, false}}));
-    EXPECT_EQ(m_mirror.dateOf("a"), std::nullopt);
-    EXPECT_EQ(m_mirror.dateOf("b"), StoreTime(50s));
+    request().done(answeredPage(50s, 5, {{"a", "1", 5, false}}));
+    request().done(RowPage{{}, 0, true});
+    request().done(answeredPage(60s, 9, {{"a", "1", 5, false}, {"b", "1", 9, false}}));
+    EXPECT_EQ(m_mirror.committedAfter("a"), std::nullopt);
+    EXPECT_EQ(m_mirror.committedAfter("b"), StoreTime(50s));
 }
 
-// What another process tells is dated by that process; when it came says nothing.
-TEST_F(TableFollowerTest, leavesTheDatesOfAnotherProcessAsTheyAre)
+// Another process has set the commit times of its rows; the time at which they arrive says nothing.
+TEST_F(TableFollowerTest, keepsCommitTimesOfAnotherProcess)
 {
-    question().done(pageSaid(50s, 5, {}));
-    TableRow dated{"a", "1", 6, false};
-    dated.committedAfter = StoreTime(51s);
-    question().done(page(7, {dated, {"b", "1", 7, false}}));
-    EXPECT_EQ(m_mirror.dateOf("a"), StoreTime(51s));
-    EXPECT_EQ(m_mirror.dateOf("b"), std::nullopt);
+    request().done(answeredPage(50s, 5, {}));
+    TableRow row{"a", "1", 6, false};
+    row.committedAfter = StoreTime(51s);
+    request().done(page(7, {row, {"b", "1", 7, false}}));
+    EXPECT_EQ(m_mirror.committedAfter("a"), StoreTime(51s));
+    EXPECT_EQ(m_mirror.committedAfter("b"), std::nullopt);
 }
 
-TEST_F(TableFollowerTest, outlivesAnAnswerThatComesAfterItsEnd)
+TEST_F(TableFollowerTest, ignoresAnAnswerAfterItsDestruction)
 {
-    auto late = question();
+    auto late = request();
     m_follower.reset();
     late.done(page(5, {{"a", "1", 5, false}}));
     EXPECT_TRUE(m_mirror.rows().empty());
 }
 
-// Whatever the store does to single answers, in the end the mirror holds what a reader of the whole table would.
-TEST_F(TableFollowerTest, agreesWithANaiveReaderAfterAnyTrouble)
+// Whatever happens to single answers, the mirror finally holds the same rows as a reader of the whole table.
+TEST_F(TableFollowerTest, matchesANaiveReaderAfterAnyFailures)
 {
     EXPECT_TRUE(rc::check([this] {
         ScriptedSource source;
-        Mirror mirror;
+        TestMirror mirror;
         const TableFollower follower(*m_loop, source, "t", 0ms, mirror);
         std::map<std::string, std::pair<std::string, std::uint64_t>> table;
         std::vector<TableRow> history;
@@ -334,21 +335,21 @@
             }
             return page(revision, std::move(rows));
         };
-        auto respond = [&](ScriptedSource::Question asked) {
-            if (asked.isWhole) {
-                asked.done(all());
+        auto respond = [&](ScriptedSource::Request received) {
+            if (received.isWhole) {
+                received.done(all());
                 return;
             }
-            if (asked.after < compacted) {
-                asked.done(RowPage{{}, 0, true});
+            if (received.after < compacted) {
+                received.done(RowPage{{}, 0, true});
                 return;
             }
             std::vector<TableRow> rows;
-            std::copy_if(history.begin(), history.end(), std::back_inserter(rows), [&](const TableRow &row) { return row.revision > asked.after; });
-            asked.done(page(revision, std::move(rows)));
+            std::copy_if(history.begin(), history.end(), std::back_inserter(rows), [&](const TableRow &row) { return row.revision > received.after; });
+            received.done(page(revision, std::move(rows)));
         };
         const auto next = [&] {
-            while (!source.hasQuestion()) {
+            while (!source.hasRequest()) {
                 m_loop->runOnce();
             }
             return source.take();
--- a/tests/auto/relay/tst_tablegossip.cpp
+++ b/tests/auto/relay/tst_tablegossip.cpp
@@ -58,7 +58,7 @@
         }
         Store::RowPage page{{}, revision, false};
         std::copy_if(rows.begin(), rows.end(), std::back_inserter(page.rows), [after](const Store::TableRow &row) { return row.revision > after; });
-        page.saidAt = storeNow();
+        page.answeredAt = storeNow();
         done(std::move(page));
     }
 
@@ -82,7 +82,7 @@
 
     void changeRows(const std::string &table, const Store::RowPage &page) override
     {
-        m_mirror.change(table, page);
+        m_mirror.applyChanges(table, page);
         note(page);
     }
 
@@ -97,10 +97,10 @@
 
     void tableVerified(const std::string &table, Store::StoreTime verifiedAt, std::uint64_t coveredRevision) override
     {
-        m_mirror.noteVerified(table, verifiedAt, coveredRevision);
+        m_mirror.setVerified(table, verifiedAt, coveredRevision);
     }
 
-    void answerRefused(const std::string &, const Store::RefusedAnswer &) override
+    void staleAnswerReceived(const std::string &, const Store::StaleAnswer &) override
     {
     }
 
@@ -228,7 +228,7 @@
         router->store.isSilent = true;
     }
     // A question that waits at the store shows last that it is not heard there.
-    pass(m_routers[0]->times.longestWait + m_routers[0]->times.answer + 500ms);
+    pass(m_routers[0]->times.maximumWait + m_routers[0]->times.answerTimeout + 500ms);
     for (const auto &router : m_routers) {
         EXPECT_GT(*router->follower.age(), router->times.bound);
         EXPECT_EQ(router->keeper.losses, 1);
--- a/tests/auto/relay/tst_weightsnamings.cpp
+++ b/tests/auto/relay/tst_weightsnamings.cpp
@@ -216,8 +216,8 @@
     own->book().note(network + "1", m_loop->now());
     const Store::StoreTime firstNamed(100s);
     peer->mirror().replace("op", {{row(3, 3, std::nullopt)}, 3, false});
-    peer->mirror().change("op", {{row(4, 4, firstNamed)}, 4, false});
-    peer->mirror().change("op", {{row(5, 5, firstNamed + 3s)}, 5, false});
+    peer->mirror().applyChanges("op", {{row(4, 4, firstNamed)}, 4, false});
+    peer->mirror().applyChanges("op", {{row(5, 5, firstNamed + 3s)}, 5, false});
     m_namings->noteClock({firstNamed + 3500ms, Core::BootClock::now()});
     m_namings->take({"m", 3}, row(3, 3, std::nullopt), "table");
 
--- a/tests/auto/relay/tst_weightsrecord.cpp
+++ b/tests/auto/relay/tst_weightsrecord.cpp
@@ -23,20 +23,20 @@
 {
     Store::StoreClockEstimate clock;
     const Store::StoreTime askedAt(100s);
-    clock.note({askedAt + 300ms, bootStart}); // Read when the question arrived, or up to 300 ms later.
+    clock.addReading({askedAt + 300ms, bootStart}); // Read when the question arrived, or up to 300 ms later.
     EXPECT_GE(clock.age(askedAt, bootStart + 2s), 2300ms);
     EXPECT_LE(clock.age(askedAt, bootStart + 2s), 2301ms); // Two clocks drift apart.
-    clock.note({askedAt + 1005ms, bootStart + 1s});
+    clock.addReading({askedAt + 1005ms, bootStart + 1s});
     EXPECT_GE(clock.age(askedAt, bootStart + 2s), 2005ms);
     EXPECT_LE(clock.age(askedAt, bootStart + 2s), 2006ms);
-    clock.note({askedAt + 5s, bootStart + 1500ms}); // A question that was delayed.
+    clock.addReading({askedAt + 5s, bootStart + 1500ms}); // A question that was delayed.
     EXPECT_LE(clock.age(askedAt, bootStart + 2s), 2006ms);
 }
 
 TEST(StoreClockEstimateTest, countsTheTimeForWhichTheHostWasSuspended)
 {
     Store::StoreClockEstimate clock;
-    clock.note({Store::StoreTime(100s), bootStart});
+    clock.addReading({Store::StoreTime(100s), bootStart});
     EXPECT_GE(clock.age(Store::StoreTime(100s), bootStart + 10min), 10min);
     EXPECT_LE(clock.age(Store::StoreTime(100s), bootStart + 10min), 10min + 200ms);
 }
@@ -44,7 +44,7 @@
 TEST(StoreClockEstimateTest, returnsNoAgeOfAFutureTime)
 {
     Store::StoreClockEstimate clock;
-    clock.note({Store::StoreTime(100s), bootStart});
+    clock.addReading({Store::StoreTime(100s), bootStart});
     EXPECT_EQ(clock.age(Store::StoreTime(103s), bootStart + 2s), std::nullopt);
 }
 
@@ -59,7 +59,7 @@
     for (int number = 0; number <= 72; ++number) {
         now = bootStart + number * hour;
         reported = Store::StoreTime(std::chrono::floor<Store::StoreTime::duration>(number * (hour + gainPerHour)));
-        clock.note({reported, now});
+        clock.addReading({reported, now});
     }
     // A row written at the time that the store last reported is two seconds old two seconds later.
     EXPECT_GE(clock.age(reported, now + 2s), 1900ms);
--- a/tests/auto/store/tst_httpplatform.cpp
+++ b/tests/auto/store/tst_httpplatform.cpp
@@ -15,7 +15,7 @@
 using Store::CommitOutcome;
 using Store::TableRow;
 
-/// The adapter against the stand-in as a process of its own.
+// Runs the adapter against the stand-in platform in a separate process.
 class HttpPlatformTest : public testing::Test
 {
 protected:
@@ -32,11 +32,11 @@
         ASSERT_EQ(sendHttp("POST", m_url + "/control", {}, json).status, 200);
     }
 
-    CommitAnswer commit(const std::vector<Store::RowWrite> &writes, std::chrono::milliseconds patience = 20s)
+    CommitAnswer commit(const std::vector<Store::RowWrite> &writes, std::chrono::milliseconds timeout = 20s)
     {
         CommitAnswer answer;
-        m_platform->commit(writes, m_loop->now() + patience, [&](const CommitAnswer &given) {
-            answer = given;
+        m_platform->commit(writes, m_loop->now() + timeout, [&](const CommitAnswer &response) {
+            answer = response;
             m_loop->stop();
         });
         m_loop->run();
@@ -46,8 +46,8 @@
     Core::Result<std::vector<TableRow>> rows(const std::string &key)
     {
         Core::Result<std::vector<TableRow>> result = std::vector<TableRow>();
-        m_platform->get(std::vector<std::string>{key}, m_loop->now() + 20s, [&](const Core::Result<std::vector<TableRow>> &given) {
-            result = given;
+        m_platform->get(std::vector<std::string>{key}, m_loop->now() + 20s, [&](const Core::Result<std::vector<TableRow>> &response) {
+            result = response;
             m_loop->stop();
         });
         m_loop->run();
@@ -57,8 +57,8 @@
     Core::Result<std::string> object(const std::string &name)
     {
         Core::Result<std::string> result = std::string();
-        m_platform->get(name, m_loop->now() + 20s, [&](const Core::Result<std::string> &given) {
-            result = given;
+        m_platform->get(name, m_loop->now() + 20s, [&](const Core::Result<std::string> &response) {
+            result = response;
             m_loop->stop();
         });
         m_loop->run();
@@ -68,8 +68,8 @@
     std::vector<Store::HostEntry> hosts()
     {
         std::vector<Store::HostEntry> result;
-        m_platform->fetch(m_loop->now() + 20s, [&](const Core::Result<std::vector<Store::HostEntry>> &given) {
-            result = given.value();
+        m_platform->fetch(m_loop->now() + 20s, [&](const Core::Result<std::vector<Store::HostEntry>> &response) {
+            result = response.value();
             m_loop->stop();
         });
         m_loop->run();
@@ -85,15 +85,15 @@
 TEST_F(HttpPlatformTest, commitsAllRowsOrNone)
 {
     EXPECT_EQ(commit({{"a", "1", 0}, {"b", "2", 0}}).revision, 1U);
-    const CommitAnswer refused = commit({{"a", "3", 1}, {"b", "4", 0}});
-    EXPECT_EQ(refused.outcome, CommitOutcome::Conflict);
-    ASSERT_EQ(refused.current.size(), 1U);
-    EXPECT_EQ(refused.current[0].key, "b");
-    EXPECT_EQ(refused.current[0].value, "2");
+    const CommitAnswer rejected = commit({{"a", "3", 1}, {"b", "4", 0}});
+    EXPECT_EQ(rejected.outcome, CommitOutcome::Conflict);
+    ASSERT_EQ(rejected.current.size(), 1U);
+    EXPECT_EQ(rejected.current[0].key, "b");
+    EXPECT_EQ(rejected.current[0].value, "2");
     EXPECT_EQ(rows("a").value().at(0).value, "1");
 }
 
-TEST_F(HttpPlatformTest, keepsADeletedRowAsATombstoneThatALateCreateCannotBringBack)
+TEST_F(HttpPlatformTest, keepsATombstoneThatALateCreateCannotOverwrite)
 {
     commit({{"a", "1", 0}});
     EXPECT_EQ(commit({{"a", std::nullopt, 1}}).outcome, CommitOutcome::Committed);
@@ -107,8 +107,8 @@
     commit({{"p/a", "1", 0}});
     commit({{"p/b", "2", 0}, {"p/c", "3", 0}, {"q", "4", 0}});
     std::vector<TableRow> found;
-    m_platform->scan("p/", 0, 2, m_loop->now() + 20s, [&](const Core::Result<std::vector<TableRow>> &given) {
-        found = given.value();
+    m_platform->scan("p/", 0, 2, m_loop->now() + 20s, [&](const Core::Result<std::vector<TableRow>> &response) {
+        found = response.value();
         m_loop->stop();
     });
     m_loop->run();
@@ -116,13 +116,13 @@
     EXPECT_EQ(found[2].revision, 2U);
 }
 
-TEST_F(HttpPlatformTest, saysNotSentInAnOutageAndOverBudget)
+TEST_F(HttpPlatformTest, returnsNotSentInAnOutageAndOverBudget)
 {
     control(R"({"outage": "refusing"})");
     EXPECT_EQ(commit({{"a", "1", 0}}).outcome, CommitOutcome::NotSent);
     EXPECT_EQ(rows("a").error().code, Core::ErrorCode::Unavailable);
     control(R"({"outage": "none", "writes_per_second": 1})");
-    // Within one second the second of two commits is over the budget; a pause between them only makes another pair.
+    // Of two commits within one second the second exceeds the budget. If a pause falls between them, the next pair is tried.
     CommitAnswer answer = commit({{"b", "1", std::nullopt}});
     while (answer.outcome == CommitOutcome::Committed) {
         answer = commit({{"b", "1", std::nullopt}});
@@ -131,14 +131,14 @@
     EXPECT_TRUE(rows("a").value().empty());
 }
 
-TEST_F(HttpPlatformTest, saysNotSentWhenNobodyListens)
+TEST_F(HttpPlatformTest, returnsNotSentWhenNobodyListens)
 {
     m_process.sendSignal(SIGKILL);
     m_process.waitForExit();
     EXPECT_EQ(commit({{"a", "1", 0}}).outcome, CommitOutcome::NotSent);
 }
 
-TEST_F(HttpPlatformTest, saysUnknownWhetherTheWriteTookEffectOrNot)
+TEST_F(HttpPlatformTest, returnsUnknownIfTheAnswerOrRequestIsLost)
 {
     control(R"({"lost_answers": 1})");
     EXPECT_EQ(commit({{"a", "1", 0}}, 300ms).outcome, CommitOutcome::Unknown);
@@ -150,7 +150,7 @@
     EXPECT_EQ(commit({{"c", "1", 0}}, 300ms).outcome, CommitOutcome::Unknown);
 }
 
-TEST_F(HttpPlatformTest, saysUnknownWhenTheAnswerIsTooSlow)
+TEST_F(HttpPlatformTest, returnsUnknownWhenTheAnswerIsTooSlow)
 {
     control(R"({"slowness_ms": 60000})");
     EXPECT_EQ(commit({{"a", "1", 0}}, 300ms).outcome, CommitOutcome::Unknown);
@@ -158,7 +158,7 @@
     EXPECT_EQ(rows("a").value().at(0).value, "1");
 }
 
-TEST_F(HttpPlatformTest, keepsObjectsAndShowsHostsLate)
+TEST_F(HttpPlatformTest, storesObjectsAndReturnsHostsWithLag)
 {
     EXPECT_EQ(object("snapshots/1").error().code, Core::ErrorCode::NotFound);
     m_platform->put("snapshots/1", std::string("a\0b", 3), m_loop->now() + 20s, [&](const Core::Result<void> &) { m_loop->stop(); });
