--- a/src/libs/relay/crashguard.cpp
+++ b/src/libs/relay/crashguard.cpp
@@ -63,7 +63,7 @@
     EventLoop::Loop &loop, Store::RowSource &source, Store::RowMirror &mirror, Store::RowStore &store, RelayTask &relay, const Store::FollowTimes &times)
     : m_loop(loop)
     , m_mirror(mirror)
-    , m_report(mirror)
+    , m_reporter(mirror)
     , m_store(store)
     , m_relay(relay)
     , m_writer(loop, store, crashTable)
@@ -81,12 +81,12 @@
 
 void CrashGuard::join(TableGossip &gossip)
 {
-    gossip.follow(m_follower, TableGossip::Urgency::OnceAged);
+    gossip.follow(m_follower, TableGossip::Urgency::WhenOutdated);
 }
 
-void CrashGuard::showAge(AgeWatch &watch)
+void CrashGuard::showAge(TableAgeMonitor &monitor)
 {
-    watch.watch(crashTable, [this] { return m_follower.age(); });
+    monitor.add(crashTable, [this] { return m_follower.age(); });
 }
 
 bool CrashGuard::hasRecords() const
@@ -284,23 +284,23 @@
 void CrashGuard::sourceLost(const std::string &table, const Core::Error &error)
 {
     m_isStoreLost = true;
-    m_report.lost(table, error);
+    m_reporter.handleLost(table, error);
 }
 
 void CrashGuard::sourceRegained(const std::string &table)
 {
     m_isStoreLost = false;
-    m_report.regained(table);
+    m_reporter.handleRegained(table);
 }
 
 void CrashGuard::tableVerified(const std::string &table, Store::StoreTime verifiedAt, std::uint64_t coveredRevision)
 {
-    m_report.verified(table, verifiedAt, coveredRevision);
+    m_reporter.handleVerified(table, verifiedAt, coveredRevision);
 }
 
 void CrashGuard::staleAnswerReceived(const std::string &table, const Store::StaleAnswer &answer)
 {
-    m_report.refused(table, answer);
+    m_reporter.handleStaleAnswer(table, answer);
 }
 
 void CrashGuard::tell(const std::vector<TableRow> &rows)
--- a/src/libs/relay/crashguard.h
+++ b/src/libs/relay/crashguard.h
@@ -1,12 +1,12 @@
 #pragma once
 
-#include "agewatch.h"
 #include "crashcontrol.h"
 #include "crashnews.h"
 #include "crashrowwriter.h"
-#include "feedreport.h"
+#include "feedreporter.h"
 #include "lostcalls.h"
 #include "relaytask.h"
+#include "tableagemonitor.h"
 #include "tablegossip.h"
 
 #include <core/lifetime.h>
@@ -44,8 +44,8 @@
     /// \brief Shares the table of crashes with other routers by \a gossip, which lives as long as this.
     void join(TableGossip &gossip);
 
-    /// \brief Lets \a watch follow how old the table of crashes is.
-    void showAge(AgeWatch &watch);
+    /// \brief Lets \a monitor follow how old the table of crashes is.
+    void showAge(TableAgeMonitor &monitor);
 
     bool hasRecords() const override;
     bool isSuspected(const Decisions::RequestIdentity &request) const override;
@@ -82,7 +82,7 @@
 
     EventLoop::Loop &m_loop;
     Store::RowMirror &m_mirror;
-    FeedReport m_report;
+    FeedReporter m_reporter;
     Store::RowStore &m_store;
     RelayTask &m_relay;
     Decisions::CrashHistory m_ledger;
--- a/src/libs/relay/deploymentdecoder.h
+++ b/src/libs/relay/deploymentdecoder.h
@@ -12,37 +12,38 @@
 namespace Verbena::Relay {
 
 /// \brief New weights of a model that engines should run.
-struct NamedWeights
+struct AnnouncedWeights
 {
     std::string model;
     std::uint64_t version = 0;
 };
 
-/// \brief The entry of a backend server is gone.
+/// \brief Removal of a backend server's entry.
 struct RemovedServer
 {
     std::string id;
 };
 
-/// \brief What a row of the store means; nothing for a row that does not matter here.
-using DeploymentRow = std::variant<std::monostate, Decisions::RelayConfiguration, NamedWeights, Decisions::RegisteredServer, RemovedServer>;
+/// \brief Decoded row of the store; std::monostate for a row that a relay does not need.
+using DeploymentRow = std::variant<std::monostate, Decisions::RelayConfiguration, AnnouncedWeights, Decisions::RegisteredServer, RemovedServer>;
 
-/// \brief The tables in which a deployment is written down.
+/// \brief Names of the tables that describe a deployment.
 struct DeploymentTables
 {
     std::string declarations; ///< Configuration and weights, by operators.
     std::string servers; ///< The register, by the backend servers themselves.
 };
 
-/// \brief Understands the rows of the platform's store.
+/// \brief Interface for decoding the rows of the platform's store.
 class DeploymentDecoder
 {
 public:
     virtual ~DeploymentDecoder() = default;
 
+    /// \brief Returns the names of the tables to be followed.
     virtual DeploymentTables tables() const = 0;
 
-    /// \brief What \a row of \a table means. Errors: InvalidArgument, with the field that is wrong.
+    /// \brief Decodes \a row of \a table. Errors: InvalidArgument, with the invalid field.
     virtual Core::Result<DeploymentRow> decode(const std::string &table, const Store::TableRow &row) const = 0;
 };
 
--- a/src/libs/relay/deploymentfeed.cpp
+++ b/src/libs/relay/deploymentfeed.cpp
@@ -12,10 +12,10 @@
 
 namespace {
 
-// Changes of the configuration are taken at once.
+// Configuration changes are applied without a pause.
 constexpr milliseconds declarationsPause{0};
 
-// Entries that lapsed in an outage are back about two seconds after it.
+// Entries that expired in an outage are registered again about two seconds after it.
 constexpr milliseconds lapseTime{2000};
 
 } // namespace
@@ -25,14 +25,14 @@
     Store::RowMirror &mirror,
     const DeploymentDecoder &decoder,
     RelayTask &relay,
-    WeightsNamings &namings,
+    WeightsAnnouncements &announcements,
     const Store::FollowTimes &times)
     : m_loop(loop)
     , m_mirror(mirror)
-    , m_report(mirror)
+    , m_reporter(mirror)
     , m_decoder(decoder)
     , m_relay(relay)
-    , m_namings(namings)
+    , m_announcements(announcements)
     , m_declarationsTable(decoder.tables().declarations)
     , m_serversTable(decoder.tables().servers)
     , m_lapseTimer(loop,
@@ -48,18 +48,18 @@
 
 DeploymentFeed::~DeploymentFeed() = default;
 
-void DeploymentFeed::join(TableGossip &gossip)
+void DeploymentFeed::setGossip(TableGossip &gossip)
 {
     m_gossip = &gossip;
-    gossip.follow(m_declarations, TableGossip::Urgency::AtOnce);
-    gossip.follow(m_servers, TableGossip::Urgency::OnceAged);
+    gossip.follow(m_declarations, TableGossip::Urgency::Immediate);
+    gossip.follow(m_servers, TableGossip::Urgency::WhenOutdated);
 }
 
-void DeploymentFeed::showAges(AgeWatch &watch)
+void DeploymentFeed::monitorAges(TableAgeMonitor &monitor)
 {
-    watch.watch(
+    monitor.add(
         m_declarationsTable, [this] { return m_declarations.age(); }, [this] { m_declarations.pollNow(); });
-    watch.watch(m_serversTable, [this] { return m_servers.age(); });
+    monitor.add(m_serversTable, [this] { return m_servers.age(); });
 }
 
 std::optional<milliseconds> DeploymentFeed::declarationsAge() const
@@ -74,8 +74,8 @@
         replaceServers(page);
         return;
     }
-    takeRows(table, page, "table");
-    tellChange(table);
+    applyRows(table, page, "table");
+    announceChange(table);
 }
 
 void DeploymentFeed::changeRows(const std::string &table, const Store::RowPage &page)
@@ -84,41 +84,41 @@
     if (table == m_serversTable) {
         m_servers.setPause(m_relay.registerPause());
     }
-    takeRows(table, page, "change");
-    tellChange(table);
+    applyRows(table, page, "change");
+    announceChange(table);
 }
 
-// Others may hear of it later, or not at all.
-void DeploymentFeed::tellChange(const std::string &table)
+// Other routers may receive the change later from the store, or not at all.
+void DeploymentFeed::announceChange(const std::string &table)
 {
     if (m_gossip != nullptr && table == m_declarationsTable) {
-        m_gossip->tellChange();
+        m_gossip->announceChange();
     }
 }
 
-void DeploymentFeed::takeRows(const std::string &table, const Store::RowPage &page, const std::string &how)
+void DeploymentFeed::applyRows(const std::string &table, const Store::RowPage &page, const std::string &source)
 {
-    noteClock(page);
+    addClockReading(page);
     for (const Store::TableRow &row : page.rows) {
-        takeRow(table, row, how);
+        applyRow(table, row, source);
     }
 }
 
-void DeploymentFeed::noteClock(const Store::RowPage &page)
+void DeploymentFeed::addClockReading(const Store::RowPage &page)
 {
     if (page.clock.has_value()) {
-        m_namings.noteClock(*page.clock);
+        m_announcements.addClockReading(*page.clock);
     }
 }
 
 void DeploymentFeed::replaceServers(const Store::RowPage &page)
 {
-    noteClock(page);
+    addClockReading(page);
     std::vector<Decisions::RegisteredServer> servers;
     for (const Store::TableRow &row : page.rows) {
         const auto decoded = m_decoder.decode(m_serversTable, row);
         if (!decoded) {
-            refuseEntry(row.key, decoded.error());
+            rejectEntry(row.key, decoded.error());
         } else if (const auto *server = std::get_if<Decisions::RegisteredServer>(&decoded.value())) {
             servers.push_back(*server);
         }
@@ -128,12 +128,12 @@
         serverChanged, {{"server", ""}, {"change", "register read"}, {"count", std::to_string(servers.size())}, {"revision", std::to_string(page.revision)}});
 }
 
-void DeploymentFeed::takeRow(const std::string &table, const Store::TableRow &row, const std::string &how)
+void DeploymentFeed::applyRow(const std::string &table, const Store::TableRow &row, const std::string &source)
 {
     auto decoded = m_decoder.decode(table, row);
     if (!decoded) {
         if (table == m_serversTable) {
-            refuseEntry(row.key, decoded.error());
+            rejectEntry(row.key, decoded.error());
             m_relay.fleet().servers().remove(row.key, m_loop.now());
         } else {
             Observe::log(configurationRefused, decoded.error(), {{"row", row.key}});
@@ -143,27 +143,27 @@
     DeploymentRow &meaning = decoded.value();
     if (auto *configuration = std::get_if<Decisions::RelayConfiguration>(&meaning)) {
         m_relay.setConfiguration(std::move(*configuration));
-    } else if (const auto *weights = std::get_if<NamedWeights>(&meaning)) {
-        m_namings.take(*weights, row, how);
+    } else if (const auto *weights = std::get_if<AnnouncedWeights>(&meaning)) {
+        m_announcements.handleAnnouncement(*weights, row, source);
     } else if (const auto *server = std::get_if<Decisions::RegisteredServer>(&meaning)) {
-        takeServer(*server);
+        applyServer(*server);
     } else if (const auto *removed = std::get_if<RemovedServer>(&meaning)) {
-        m_refused.forget(removed->id);
+        m_rejected.remove(removed->id);
         m_relay.fleet().servers().remove(removed->id, m_loop.now());
         Observe::log(serverChanged, {{"server", removed->id}, {"change", "entry removed"}, {"revision", std::to_string(row.revision)}});
     }
 }
 
-void DeploymentFeed::refuseEntry(const std::string &id, const Core::Error &error)
+void DeploymentFeed::rejectEntry(const std::string &id, const Core::Error &error)
 {
-    if (m_refused.isNews(id, error.message)) {
+    if (m_rejected.record(id, error.message)) {
         Observe::log(entryRefused, error, {{"row", id}});
     }
 }
 
-void DeploymentFeed::takeServer(const Decisions::RegisteredServer &server)
+void DeploymentFeed::applyServer(const Decisions::RegisteredServer &server)
 {
-    m_refused.forget(server.id);
+    m_rejected.remove(server.id);
     Decisions::ServerRegister &servers = m_relay.fleet().servers();
     const std::uint64_t before = servers.revision();
     servers.set(server);
@@ -180,7 +180,7 @@
 
 void DeploymentFeed::sourceLost(const std::string &table, const Core::Error &error)
 {
-    m_report.lost(table, error);
+    m_reporter.handleLost(table, error);
     if (table == m_serversTable) {
         m_relay.fleet().servers().markStoreLost();
     }
@@ -188,7 +188,7 @@
 
 void DeploymentFeed::sourceRegained(const std::string &table)
 {
-    m_report.regained(table);
+    m_reporter.handleRegained(table);
     if (table == m_serversTable) {
         const Core::TimePoint lapseDeadline = m_loop.now() + lapseTime;
         m_relay.fleet().servers().markStoreRegained(lapseDeadline);
@@ -198,12 +198,12 @@
 
 void DeploymentFeed::tableVerified(const std::string &table, Store::StoreTime verifiedAt, std::uint64_t coveredRevision)
 {
-    m_report.verified(table, verifiedAt, coveredRevision);
+    m_reporter.handleVerified(table, verifiedAt, coveredRevision);
 }
 
 void DeploymentFeed::staleAnswerReceived(const std::string &table, const Store::StaleAnswer &answer)
 {
-    m_report.refused(table, answer);
+    m_reporter.handleStaleAnswer(table, answer);
 }
 
 } // namespace Verbena::Relay
--- a/src/libs/relay/deploymentfeed.h
+++ b/src/libs/relay/deploymentfeed.h
@@ -1,12 +1,12 @@
 #pragma once
 
-#include "agewatch.h"
 #include "deploymentdecoder.h"
-#include "feedreport.h"
-#include "refusedentries.h"
+#include "feedreporter.h"
+#include "rejectedentries.h"
 #include "relaytask.h"
+#include "tableagemonitor.h"
 #include "tablegossip.h"
-#include "weightsnamings.h"
+#include "weightsannouncements.h"
 
 #include <eventloop/timer.h>
 #include <store/rowmirror.h>
@@ -18,27 +18,27 @@
 
 namespace Verbena::Relay {
 
-/// \brief Keeps a relay in step with what operators and backend servers write into the store.
+/// \brief Applies to a relay what operators and backend servers write into the store.
 class DeploymentFeed : private Store::RowConsumer
 {
 public:
-    /// \brief Follows \a source; what it tells goes on into \a mirror too, and what it says of weights into \a namings.
+    /// \brief Follows \a source. Its rows are also copied into \a mirror, and announced weights are passed on to \a announcements.
     DeploymentFeed(EventLoop::Loop &loop,
         Store::RowSource &source,
         Store::RowMirror &mirror,
         const DeploymentDecoder &decoder,
         RelayTask &relay,
-        WeightsNamings &namings,
+        WeightsAnnouncements &announcements,
         const Store::FollowTimes &times);
     ~DeploymentFeed() override;
 
-    /// \brief Shares the tables with other routers by \a gossip, which lives as long as this.
-    void join(TableGossip &gossip);
+    /// \brief Shares the tables with other routers through \a gossip, which has to live as long as this object.
+    void setGossip(TableGossip &gossip);
 
-    /// \brief Lets \a watch follow how old the tables are.
-    void showAges(AgeWatch &watch);
+    /// \brief Adds the tables to \a monitor.
+    void monitorAges(TableAgeMonitor &monitor);
 
-    /// \brief How old the operators' declarations may be; nothing before they were read once.
+    /// \brief Returns the maximum age of the operators' declarations; nothing before they were read once.
     std::optional<std::chrono::milliseconds> declarationsAge() const;
 
     DeploymentFeed(const DeploymentFeed &) = delete;
@@ -51,24 +51,24 @@
     void sourceRegained(const std::string &table) override;
     void tableVerified(const std::string &table, Store::StoreTime verifiedAt, std::uint64_t coveredRevision) override;
     void staleAnswerReceived(const std::string &table, const Store::StaleAnswer &answer) override;
-    void takeRows(const std::string &table, const Store::RowPage &page, const std::string &how);
-    void takeRow(const std::string &table, const Store::TableRow &row, const std::string &how);
-    void noteClock(const Store::RowPage &page);
-    void refuseEntry(const std::string &id, const Core::Error &error);
-    void tellChange(const std::string &table);
-    void takeServer(const Decisions::RegisteredServer &server);
+    void applyRows(const std::string &table, const Store::RowPage &page, const std::string &source);
+    void applyRow(const std::string &table, const Store::TableRow &row, const std::string &source);
+    void addClockReading(const Store::RowPage &page);
+    void rejectEntry(const std::string &id, const Core::Error &error);
+    void announceChange(const std::string &table);
+    void applyServer(const Decisions::RegisteredServer &server);
     void replaceServers(const Store::RowPage &page);
 
     EventLoop::Loop &m_loop;
     Store::RowMirror &m_mirror;
-    FeedReport m_report;
+    FeedReporter m_reporter;
     const DeploymentDecoder &m_decoder;
     RelayTask &m_relay;
-    WeightsNamings &m_namings;
+    WeightsAnnouncements &m_announcements;
     std::string m_declarationsTable;
     std::string m_serversTable;
-    TableGossip *m_gossip = nullptr; ///< Nothing before join().
-    RefusedEntries m_refused;
+    TableGossip *m_gossip = nullptr; ///< Null before setGossip().
+    RejectedEntries m_rejected;
     EventLoop::Timer m_lapseTimer;
     Store::TableFollower m_declarations;
     Store::TableFollower m_servers;
--- a/src/libs/relay/feedreport.cpp
+++ b/src/libs/relay/feedreporter.cpp
@@ -1,4 +1,4 @@
-#include "feedreport.h"
+#include "feedreporter.h"
 
 #include "relayevents.h"
 
@@ -6,33 +6,33 @@
 
 namespace Verbena::Relay {
 
-FeedReport::FeedReport(Store::RowMirror &mirror)
+FeedReporter::FeedReporter(Store::RowMirror &mirror)
     : m_mirror(mirror)
 {
 }
 
-void FeedReport::lost(const std::string &table, const Core::Error &error)
+void FeedReporter::handleLost(const std::string &table, const Core::Error &error)
 {
     Observe::log(feedLost, error, {{"table", table}});
 }
 
-void FeedReport::regained(const std::string &table)
+void FeedReporter::handleRegained(const std::string &table)
 {
     Observe::log(feedRegained, {{"table", table}});
 }
 
-void FeedReport::verified(const std::string &table, Store::StoreTime verifiedAt, std::uint64_t coveredRevision)
+void FeedReporter::handleVerified(const std::string &table, Store::StoreTime verifiedAt, std::uint64_t coveredRevision)
 {
-    m_isRefusing = false;
+    m_isStale = false;
     m_mirror.setVerified(table, verifiedAt, coveredRevision);
 }
 
-void FeedReport::refused(const std::string &table, const Store::StaleAnswer &answer)
+void FeedReporter::handleStaleAnswer(const std::string &table, const Store::StaleAnswer &answer)
 {
-    if (m_isRefusing) {
+    if (m_isStale) {
         return;
     }
-    m_isRefusing = true;
+    m_isStale = true;
     Observe::log(answerFromThePast,
         {{"table", table},
             {"revision", std::to_string(answer.revision)},
--- a/src/libs/relay/peerrows.h
+++ b/src/libs/relay/peerrowsource.h
@@ -1,6 +1,6 @@
 #pragma once
 
-#include "peerbook.h"
+#include "peertable.h"
 
 #include <decisions/spread/randomsource.h>
 #include <eventloop/loop.h>
@@ -18,40 +18,40 @@
 
 namespace Verbena::Relay {
 
-/// \brief Asks other routers for rows when the store does not answer this one, and answers those who ask.
+/// \brief Row source that requests rows from other routers when the store does not answer, and answers their requests.
 ///
-/// The store may turn single hosts away while it serves the rest. What a peer knows is what the store told it, with the store's own revisions, so that
-/// nothing has to be agreed on.
-class PeerRows : public Store::RowSource, private Http::HttpHandler
+/// The store may refuse requests of single hosts while it serves the others. A peer's rows come from the store with the store's own revisions, so that the
+/// routers need not agree on anything.
+class PeerRowSource : public Store::RowSource, private Http::HttpHandler
 {
 public:
-    /// \brief Listens for peers at \a address, port \a port; peers listen at the same port. Errors: Unavailable, Internal.
-    static Core::Result<std::unique_ptr<PeerRows>> create(EventLoop::Loop &loop,
+    /// \brief Creates a source that listens for peers at \a address, port \a port; peers listen at the same port. Errors: Unavailable, Internal.
+    static Core::Result<std::unique_ptr<PeerRowSource>> create(EventLoop::Loop &loop,
         const std::string &address,
         std::uint16_t port,
         Store::RowSource &store,
         std::uint64_t seed,
         const Store::FollowTimes &times = Store::FollowTimes::within(std::chrono::seconds(3)));
 
-    /// \brief The other routers that can be asked.
-    PeerBook &book();
+    /// \brief Returns the other routers to which requests can be sent.
+    PeerTable &peerTable();
 
-    /// \brief What this process knows, for those who ask.
+    /// \brief Returns the copy of the tables from which requests are answered.
     Store::RowMirror &mirror();
 
-    /// \brief Asks the router at \a peer what changed; it waits for a change until \a waitEnd. Errors: Unavailable, also if the peer has not heard of the store
-    /// for longer than a moment or knows less than the asker.
+    /// \brief Requests changes after \a revision from the router at \a peer, which waits for one until \a waitEnd. Errors: Unavailable, also if the peer's copy
+    /// was not verified recently or is older than \a revision.
     void awaitFresh(const std::string &peer, const std::string &table, std::uint64_t revision, Core::TimePoint waitEnd, PageCallback done);
 
-    /// \brief Asks the router at \a peer what it knows of changes after \a revision, or of the whole table for 0; history is lost where it cannot tell them
-    /// apart. Errors: Unavailable, also if it knows less than the asker.
+    /// \brief Requests the changes after \a revision, or the whole table for 0, from the router at \a peer without waiting. The page has isHistoryLost set if
+    /// the peer no longer has these changes. Errors: Unavailable, also if the peer's copy is older than \a revision.
     void fetch(const std::string &peer, const std::string &table, std::uint64_t revision, PageCallback done);
 
     void readTable(const std::string &table, Core::TimePoint deadline, PageCallback done) override;
     void awaitChanges(const std::string &table, std::uint64_t revision, Core::TimePoint waitEnd, Core::TimePoint deadline, PageCallback done) override;
 
 private:
-    PeerRows(EventLoop::Loop &loop,
+    PeerRowSource(EventLoop::Loop &loop,
         std::unique_ptr<Http::HttpClient> client,
         const std::string &address,
         std::uint16_t port,
@@ -59,8 +59,8 @@
         std::uint64_t seed,
         const Store::FollowTimes &times);
     void handleRequest(const std::shared_ptr<Http::HttpExchange> &exchange) override;
-    // A peer that waits for a change.
-    struct Waiting
+    // Request of a peer that waits for a change.
+    struct PendingRequest
     {
         std::shared_ptr<Http::HttpExchange> exchange;
         std::string table;
@@ -68,13 +68,13 @@
         Core::TimePoint deadline;
     };
 
-    PageCallback hearing(PageCallback done);
+    PageCallback recordingClock(PageCallback done);
     std::optional<Store::StoreTime> storeNow() const;
     std::optional<std::chrono::milliseconds> age(const std::string &table) const;
-    void call(const std::string &peer, const std::string &question, std::uint64_t revision, Core::TimePoint deadline, PageCallback done);
-    bool answer(const Waiting &waiting);
-    void answerWaiting();
-    void askPeer(const std::string &table, std::uint64_t revision, const Core::Error &failure, PageCallback done);
+    void sendRequest(const std::string &peer, const std::string &query, std::uint64_t revision, Core::TimePoint deadline, PageCallback done);
+    bool tryAnswer(const PendingRequest &pending);
+    void answerPending();
+    void requestFromPeer(const std::string &table, std::uint64_t revision, const Core::Error &failure, PageCallback done);
 
     EventLoop::Loop &m_loop;
     std::unique_ptr<Http::HttpClient> m_client;
@@ -84,9 +84,9 @@
     Decisions::RandomSource m_random;
     Store::RowMirror m_mirror;
     Store::StoreClockEstimate m_storeClock;
-    PeerBook m_book;
-    std::vector<Waiting> m_waiting;
-    EventLoop::Timer m_waitingTimer;
+    PeerTable m_peerTable;
+    std::vector<PendingRequest> m_pending;
+    EventLoop::Timer m_pendingTimer;
     std::unique_ptr<Http::HttpServer> m_server;
 };
 
--- a/src/libs/relay/sharedrows.cpp
+++ b/src/libs/relay/sharedrowsource.cpp
@@ -1,10 +1,10 @@
-#include "sharedrows.h"
+#include "sharedrowsource.h"
 
 #include <algorithm>
 
 namespace Verbena::Relay {
 
-SharedRows::SharedRows(EventLoop::Loop &loop, PeerRows &peers, RelayTask &relay, std::uint64_t seed, const Store::FollowTimes &times)
+SharedRowSource::SharedRowSource(EventLoop::Loop &loop, PeerRowSource &peers, RelayTask &relay, std::uint64_t seed, const Store::FollowTimes &times)
     : m_loop(loop)
     , m_peers(peers)
     , m_relay(relay)
@@ -13,25 +13,25 @@
 {
 }
 
-void SharedRows::readTable(const std::string &table, Core::TimePoint deadline, PageCallback done)
+void SharedRowSource::readTable(const std::string &table, Core::TimePoint deadline, PageCallback done)
 {
     m_peers.readTable(table, deadline, std::move(done));
 }
 
-// One that was heard lately, if there is any: others may be gone, which shows only when they do not answer.
-const std::string &SharedRows::choose(const std::vector<std::string> &elected)
+// Prefers an elected router that recently sent a digest. Others may be gone, which shows only when they do not answer.
+const std::string &SharedRowSource::chooseElected(const std::vector<std::string> &elected)
 {
     const std::size_t first = m_random.next() % elected.size();
-    for (std::size_t place = 0; place < elected.size(); ++place) {
-        const std::string &candidate = elected[(first + place) % elected.size()];
-        if (m_peers.book().isHeard(candidate, m_loop.now())) {
+    for (std::size_t offset = 0; offset < elected.size(); ++offset) {
+        const std::string &candidate = elected[(first + offset) % elected.size()];
+        if (m_peers.peerTable().hasRecentDigest(candidate, m_loop.now())) {
             return candidate;
         }
     }
     return elected[first];
 }
 
-void SharedRows::awaitChanges(const std::string &table, std::uint64_t revision, Core::TimePoint waitEnd, Core::TimePoint deadline, PageCallback done)
+void SharedRowSource::awaitChanges(const std::string &table, std::uint64_t revision, Core::TimePoint waitEnd, Core::TimePoint deadline, PageCallback done)
 {
     const Core::TimePoint now = m_loop.now();
     const std::vector<std::string> elected = waitEnd > now ? m_relay.electedRouters() : std::vector<std::string>();
@@ -45,8 +45,8 @@
         m_peers.awaitChanges(table, revision, sharedEnd, sharedDeadline, std::move(done));
         return;
     }
-    const std::string &peer = choose(elected);
-    const auto take = [this, table, revision, sharedEnd, sharedDeadline, done = std::move(done)](Core::Result<Store::RowPage> page) {
+    const std::string &peer = chooseElected(elected);
+    const auto handle = [this, table, revision, sharedEnd, sharedDeadline, done = std::move(done)](Core::Result<Store::RowPage> page) {
         if (page) {
             done(std::move(page));
         } else {
@@ -54,7 +54,7 @@
             m_peers.awaitChanges(table, revision, nextEnd, nextEnd + (sharedDeadline - sharedEnd), done);
         }
     };
-    m_peers.awaitFresh(peer, table, revision, sharedEnd, take);
+    m_peers.awaitFresh(peer, table, revision, sharedEnd, handle);
 }
 
 } // namespace Verbena::Relay
--- a/src/libs/relay/sharedrows.h
+++ b/src/libs/relay/sharedrowsource.h
@@ -1,6 +1,6 @@
 #pragma once
 
-#include "peerrows.h"
+#include "peerrowsource.h"
 #include "relaytask.h"
 
 #include <decisions/spread/randomsource.h>
@@ -13,16 +13,16 @@
 
 namespace Verbena::Relay {
 
-/// \brief Lets a few routers follow the store's tables for all.
+/// \brief Row source by which a few elected routers follow the store's tables on behalf of all routers.
 ///
-/// Those that are elected ask the store, the others ask one of them at random with each question and the store itself if that one does not answer, or has
-/// not heard of the store for longer than a moment. Nobody has to agree on who is elected: one that wrongly takes itself for elected asks the store as it
-/// would alone, and one that is wrongly asked says how old its knowledge is.
-class SharedRows : public Store::RowSource
+/// Elected routers send their requests to the store. The others send each request to a random elected router, and to the store itself if that router does not
+/// answer or its copy was not verified recently. The routers need not agree on who is elected: one that wrongly assumes to be elected sends requests to the
+/// store as if it were alone, and one that wrongly gets a request reports how old its copy is.
+class SharedRowSource : public Store::RowSource
 {
 public:
-    SharedRows(EventLoop::Loop &loop,
-        PeerRows &peers,
+    SharedRowSource(EventLoop::Loop &loop,
+        PeerRowSource &peers,
         RelayTask &relay,
         std::uint64_t seed,
         const Store::FollowTimes &times = Store::FollowTimes::within(std::chrono::seconds(3)));
@@ -31,10 +31,10 @@
     void awaitChanges(const std::string &table, std::uint64_t revision, Core::TimePoint waitEnd, Core::TimePoint deadline, PageCallback done) override;
 
 private:
-    const std::string &choose(const std::vector<std::string> &elected);
+    const std::string &chooseElected(const std::vector<std::string> &elected);
 
     EventLoop::Loop &m_loop;
-    PeerRows &m_peers;
+    PeerRowSource &m_peers;
     RelayTask &m_relay;
     Decisions::RandomSource m_random;
     Store::FollowTimes m_times;
--- a/src/libs/relay/storetimecodec.cpp
+++ b/src/libs/relay/storetimecodec.cpp
@@ -2,14 +2,14 @@
 
 namespace Verbena::Relay {
 
-std::uint64_t encodeStoreTime(const std::optional<Store::StoreTime> &moment)
+std::uint64_t encodeStoreTime(const std::optional<Store::StoreTime> &time)
 {
-    return moment.has_value() ? static_cast<std::uint64_t>(moment->time_since_epoch().count()) + 1 : 0;
+    return time.has_value() ? static_cast<std::uint64_t>(time->time_since_epoch().count()) + 1 : 0;
 }
 
-std::optional<Store::StoreTime> decodeStoreTime(std::uint64_t moment)
+std::optional<Store::StoreTime> decodeStoreTime(std::uint64_t time)
 {
-    return moment == 0 ? std::nullopt : std::optional(Store::StoreTime(std::chrono::milliseconds(moment - 1)));
+    return time == 0 ? std::nullopt : std::optional(Store::StoreTime(std::chrono::milliseconds(time - 1)));
 }
 
 } // namespace Verbena::Relay
--- a/src/libs/relay/storetimecodec.h
+++ b/src/libs/relay/storetimecodec.h
@@ -7,8 +7,9 @@
 
 namespace Verbena::Relay {
 
-/// \brief A moment of the store's clock as it goes over the wire: plus 1, so that 0 says that there is none.
-std::uint64_t encodeStoreTime(const std::optional<Store::StoreTime> &moment);
-std::optional<Store::StoreTime> decodeStoreTime(std::uint64_t moment);
+/// \brief Returns \a time in milliseconds plus 1 for the wire; 0 means that there is no time.
+std::uint64_t encodeStoreTime(const std::optional<Store::StoreTime> &time);
+/// \brief Returns the time that encodeStoreTime() encoded as \a time; nothing for 0.
+std::optional<Store::StoreTime> decodeStoreTime(std::uint64_t time);
 
 } // namespace Verbena::Relay
--- a/src/libs/relay/tablegossip.cpp
+++ b/src/libs/relay/tablegossip.cpp
@@ -12,20 +12,20 @@
 
 namespace {
 
-// Told in each period: so each router is told by as many others on average, and hears within two periods with hardly an exception.
-constexpr std::size_t toldAtOnce = 3;
+// Number of peers to which digests are sent per period. Each router receives as many on average, and almost always at least one within two periods.
+constexpr std::size_t digestPeers = 3;
 
-// Asked, in that way, by a router that hears too little, so that some of them hear the store although most others do not either.
-constexpr std::size_t toldWhenAged = 8;
+// Number of peers for a router with an outdated copy, so that some of them are served by the store even if most routers are not. Its digest makes them reply.
+constexpr std::size_t digestPeersWhenOutdated = 8;
 
-// Told of a change, by each router that learns of it.
-constexpr std::size_t toldOfChange = 4;
+// Number of peers to which each router that receives a change sends digests.
+constexpr std::size_t changePeers = 4;
 
-// A change is told so late after it was learned, of a period: whoever hears it from the store or an elected router need not fetch it too.
+// Part of a period by which digests are delayed after a change, so that routers that receive it from the store or an elected router need not fetch it too.
 constexpr int changeDelayDivisor = 4;
 
-// Calls to different routers for the same table, as one of them may be gone, and the part of the time for an answer that passes between two.
-constexpr std::size_t mostFetches = 3;
+// Maximum number of concurrent fetches of a table from different routers, since one of them may be gone, and the part of the answer timeout between two.
+constexpr std::size_t maximumFetches = 3;
 constexpr int fetchDelayDivisor = 3;
 
 std::string textOf(const sockaddr_in &address)
@@ -43,31 +43,31 @@
 } // namespace
 
 Core::Result<std::unique_ptr<TableGossip>> TableGossip::create(
-    EventLoop::Loop &loop, const Http::Endpoint &address, PeerRows &peers, const Store::FollowTimes &times, std::uint64_t seed)
+    EventLoop::Loop &loop, const Http::Endpoint &address, PeerRowSource &peers, const Store::FollowTimes &times, std::uint64_t seed)
 {
     std::unique_ptr<TableGossip> gossip(new TableGossip(loop, address, peers, times, seed));
-    const auto take = [raw = gossip.get()](const sockaddr_in &from, const verbena::wire::Envelope &message) {
+    const auto handle = [raw = gossip.get()](const sockaddr_in &from, const verbena::wire::Envelope &message) {
         if (message.has_table_digests()) {
-            raw->receive(from, message.table_digests());
+            raw->handleDigests(from, message.table_digests());
         }
     };
-    auto socket = Wire::DatagramSocket::bind(loop, address.address, take);
+    auto socket = Wire::DatagramSocket::bind(loop, address.address, handle);
     if (!socket) {
         return socket.error();
     }
     gossip->m_socket = std::move(socket.value());
-    gossip->tellSome();
+    gossip->sendPeriodically();
     return gossip;
 }
 
-TableGossip::TableGossip(EventLoop::Loop &loop, const Http::Endpoint &address, PeerRows &peers, const Store::FollowTimes &times, std::uint64_t seed)
+TableGossip::TableGossip(EventLoop::Loop &loop, const Http::Endpoint &address, PeerRowSource &peers, const Store::FollowTimes &times, std::uint64_t seed)
     : m_loop(loop)
     , m_address(address)
     , m_peers(peers)
     , m_times(times)
     , m_random(seed)
-    , m_timer(loop, [this] { tellSome(); })
-    , m_changeTimer(loop, [this] { tell(toldOfChange); })
+    , m_timer(loop, [this] { sendPeriodically(); })
+    , m_changeTimer(loop, [this] { sendDigests(changePeers); })
 {
 }
 
@@ -76,23 +76,23 @@
     m_followed.push_back(std::make_unique<Followed>(Followed{&follower, urgency}));
 }
 
-void TableGossip::tellChange()
+void TableGossip::announceChange()
 {
     if (!m_changeTimer.isActive()) {
         m_changeTimer.startAt(m_loop.now() + m_times.digestPeriod / changeDelayDivisor);
     }
 }
 
-void TableGossip::tellSome()
+void TableGossip::sendPeriodically()
 {
-    tell(isAged() ? toldWhenAged : toldAtOnce);
+    sendDigests(isOutdated() ? digestPeersWhenOutdated : digestPeers);
     m_timer.startAt(m_loop.now() + m_times.digestPeriod);
 }
 
-void TableGossip::tell(std::size_t count)
+void TableGossip::sendDigests(std::size_t count)
 {
-    const verbena::wire::Envelope message = digests(false);
-    for (const std::string &peer : m_peers.book().draw(count, m_random, m_loop.now())) {
+    const verbena::wire::Envelope message = digestMessage(false);
+    for (const std::string &peer : m_peers.peerTable().sample(count, m_random, m_loop.now())) {
         Http::Endpoint endpoint = m_address;
         if (inet_pton(AF_INET, peer.c_str(), &endpoint.address.sin_addr) == 1) {
             m_socket->send(endpoint.address, message);
@@ -102,17 +102,17 @@
 
 bool TableGossip::isOlderThan(const Store::TableFollower &follower, std::chrono::milliseconds age) const
 {
-    const std::optional<std::chrono::milliseconds> known = follower.age();
-    return !known.has_value() || *known > age;
+    const std::optional<std::chrono::milliseconds> knownAge = follower.age();
+    return !knownAge.has_value() || *knownAge > age;
 }
 
-bool TableGossip::isAged() const
+bool TableGossip::isOutdated() const
 {
     return std::any_of(
         m_followed.begin(), m_followed.end(), [this](const auto &followed) { return isOlderThan(*followed->follower, m_times.sharedMaximumAge); });
 }
 
-verbena::wire::Envelope TableGossip::digests(bool isReply) const
+verbena::wire::Envelope TableGossip::digestMessage(bool isReply) const
 {
     verbena::wire::Envelope message;
     message.mutable_table_digests()->set_is_reply(isReply);
@@ -127,28 +127,28 @@
     return message;
 }
 
-// A router that says too little of itself is told what helps it, but a reply is never replied to.
-void TableGossip::receive(const sockaddr_in &from, const verbena::wire::TableDigests &digests)
+// Replies with digests to a router whose copy is older, but never to a reply.
+void TableGossip::handleDigests(const sockaddr_in &from, const verbena::wire::TableDigests &digests)
 {
     const std::string peer = textOf(from);
-    std::optional<Store::StoreTime> least;
-    bool isHelped = false;
+    std::optional<Store::StoreTime> oldest;
+    bool hasNewerData = false;
     for (const verbena::wire::TableDigest &entry : digests.tables()) {
         const Store::TableDigest theirs = decode(entry);
         const bool isFirst = &entry == &digests.tables(0);
-        least = isFirst ? theirs.verifiedAt : std::min(least, theirs.verifiedAt);
+        oldest = isFirst ? theirs.verifiedAt : std::min(oldest, theirs.verifiedAt);
         for (const auto &followed : m_followed) {
-            isHelped = (followed->follower->table() == theirs.table && take(*followed, peer, theirs)) || isHelped;
+            hasNewerData = (followed->follower->table() == theirs.table && applyDigest(*followed, peer, theirs)) || hasNewerData;
         }
     }
-    m_peers.book().noteSaid(peer, least, m_loop.now());
-    if (isHelped && !digests.is_reply()) {
-        m_socket->send(from, this->digests(true));
+    m_peers.peerTable().recordDigest(peer, oldest, m_loop.now());
+    if (hasNewerData && !digests.is_reply()) {
+        m_socket->send(from, this->digestMessage(true));
     }
 }
 
-// Returns whether the peer is helped by what is known here.
-bool TableGossip::take(Followed &followed, const std::string &peer, const Store::TableDigest &theirs)
+// Returns whether this router has newer data for the peer.
+bool TableGossip::applyDigest(Followed &followed, const std::string &peer, const Store::TableDigest &theirs)
 {
     Store::TableFollower &follower = *followed.follower;
     switch (follower.compare(theirs)) {
@@ -156,7 +156,7 @@
         follower.confirm(theirs);
         return false;
     case Store::TableVersion::Comparison::IsNewer:
-        if (followed.urgency == Urgency::AtOnce || isOlderThan(follower, m_times.sharedMaximumWait)) {
+        if (followed.urgency == Urgency::Immediate || isOlderThan(follower, m_times.sharedMaximumWait)) {
             fetch(followed, peer, follower.revision());
         }
         return false;
@@ -174,24 +174,24 @@
     return ours.verifiedAt.has_value() && (!theirs.verifiedAt.has_value() || *ours.verifiedAt > *theirs.verifiedAt + m_times.digestPeriod);
 }
 
-// A peer that has read the whole table since then can tell only the whole of it.
-void TableGossip::fetch(Followed &followed, const std::string &peer, std::uint64_t asked)
+// A peer that has read the whole table since then can return only the whole table.
+void TableGossip::fetch(Followed &followed, const std::string &peer, std::uint64_t requestedRevision)
 {
     const Core::TimePoint now = m_loop.now();
-    if (followed.fetches >= mostFetches || (followed.fetches > 0 && now < followed.nextFetch)) {
+    if (followed.fetches >= maximumFetches || (followed.fetches > 0 && now < followed.nextFetch)) {
         return;
     }
     ++followed.fetches;
     followed.nextFetch = now + m_times.peerAnswerTimeout / fetchDelayDivisor;
-    const auto take = [this, &followed, peer, asked](Core::Result<Store::RowPage> page) {
+    const auto handle = [this, &followed, peer, requestedRevision](Core::Result<Store::RowPage> page) {
         --followed.fetches;
         if (page && page.value().isHistoryLost) {
             fetch(followed, peer, 0);
         } else if (page) {
-            followed.follower->offer(std::move(page.value()), asked);
+            followed.follower->offer(std::move(page.value()), requestedRevision);
         }
     };
-    m_peers.fetch(peer, followed.follower->table(), asked, m_lifetime.guard(take));
+    m_peers.fetch(peer, followed.follower->table(), requestedRevision, m_lifetime.guard(handle));
 }
 
 } // namespace Verbena::Relay
--- a/src/libs/relay/tablegossip.h
+++ b/src/libs/relay/tablegossip.h
@@ -1,6 +1,6 @@
 #pragma once
 
-#include "peerrows.h"
+#include "peerrowsource.h"
 
 #include <core/lifetime.h>
 #include <eventloop/timer.h>
@@ -15,56 +15,57 @@
 
 namespace Verbena::Relay {
 
-/// \brief Routers tell each other by datagrams up to where they know the store's tables, and fetch from each other what they lack.
+/// \brief Exchanges digests of the store's tables with other routers by datagrams, and fetches missing changes from them.
 ///
-/// A few at random are told now and then, and at once when something changed. So a change reaches every router that any way of others leads to, whatever
-/// the store does for the router itself; and a router that is told "nothing changed" knows that what it believes is not old. Each router's traffic is the
-/// same however many there are.
+/// Digests are sent to a few random routers periodically, and soon after a change. So a change reaches every router that is connected to an up-to-date one,
+/// even if the store does not answer that router, and a digest without changes proves that a router's copy is current. The traffic per router does not depend
+/// on the number of routers.
 class TableGossip
 {
 public:
-    /// \brief Whether a change is worth a call as soon as another router tells that there is one.
+    /// \brief When a change reported by another router is fetched.
     enum class Urgency {
-        AtOnce,
-        OnceAged, ///< Only if the table is older here than the store's own news ever are.
+        Immediate, ///< As soon as it is reported.
+        WhenOutdated, ///< Only if the local copy is older than it can be while the store answers.
     };
 
-    /// \brief Talks from \a address; other routers are at the same port of their hosts, and their rows are fetched by \a peers. Errors: Unavailable.
+    /// \brief Creates an object that sends and receives at \a address. Other routers use the same port on their hosts, and their rows are fetched through \a
+    /// peers. Errors: Unavailable.
     static Core::Result<std::unique_ptr<TableGossip>> create(
-        EventLoop::Loop &loop, const Http::Endpoint &address, PeerRows &peers, const Store::FollowTimes &times, std::uint64_t seed);
+        EventLoop::Loop &loop, const Http::Endpoint &address, PeerRowSource &peers, const Store::FollowTimes &times, std::uint64_t seed);
 
     TableGossip(const TableGossip &) = delete;
     TableGossip &operator=(const TableGossip &) = delete;
 
-    /// \brief Tells of the table of \a follower too, which lives as long as the loop runs.
+    /// \brief Includes the table of \a follower, which has to live as long as the loop runs.
     void follow(Store::TableFollower &follower, Urgency urgency);
 
-    /// \brief Something changed: tells a few other routers soon, once those that hear of it by themselves have done so.
-    void tellChange();
+    /// \brief Sends digests to a few other routers after a change, with a short delay in which some routers receive it by themselves.
+    void announceChange();
 
 private:
     struct Followed
     {
         Store::TableFollower *follower = nullptr;
-        Urgency urgency = Urgency::OnceAged;
-        std::size_t fetches = 0; ///< Under way.
-        Core::TimePoint nextFetch{}; ///< While one is under way.
+        Urgency urgency = Urgency::WhenOutdated;
+        std::size_t fetches = 0; ///< Number of fetches in progress.
+        Core::TimePoint nextFetch{}; ///< Earliest time of another fetch while one is in progress.
     };
 
-    TableGossip(EventLoop::Loop &loop, const Http::Endpoint &address, PeerRows &peers, const Store::FollowTimes &times, std::uint64_t seed);
-    void tellSome();
-    void tell(std::size_t count);
-    bool isAged() const;
+    TableGossip(EventLoop::Loop &loop, const Http::Endpoint &address, PeerRowSource &peers, const Store::FollowTimes &times, std::uint64_t seed);
+    void sendPeriodically();
+    void sendDigests(std::size_t count);
+    bool isOutdated() const;
     bool isOlderThan(const Store::TableFollower &follower, std::chrono::milliseconds age) const;
-    verbena::wire::Envelope digests(bool isReply) const;
-    void receive(const sockaddr_in &from, const verbena::wire::TableDigests &digests);
-    bool take(Followed &followed, const std::string &peer, const Store::TableDigest &theirs);
+    verbena::wire::Envelope digestMessage(bool isReply) const;
+    void handleDigests(const sockaddr_in &from, const verbena::wire::TableDigests &digests);
+    bool applyDigest(Followed &followed, const std::string &peer, const Store::TableDigest &theirs);
     bool isHelpful(const Store::TableDigest &theirs, const Store::TableDigest &ours) const;
-    void fetch(Followed &followed, const std::string &peer, std::uint64_t asked);
+    void fetch(Followed &followed, const std::string &peer, std::uint64_t requestedRevision);
 
     EventLoop::Loop &m_loop;
     Http::Endpoint m_address;
-    PeerRows &m_peers;
+    PeerRowSource &m_peers;
     Store::FollowTimes m_times;
     Decisions::RandomSource m_random;
     std::vector<std::unique_ptr<Followed>> m_followed;
--- a/src/libs/weights/weightskeeper.cpp
+++ b/src/libs/weights/weightskeeper.cpp
@@ -91,7 +91,7 @@
     Store::RowStore &orderRows,
     const Relay::DeploymentDecoder &decoder,
     EngineControl &engine,
-    Relay::CacheNewsSource &caches,
+    Relay::CacheChangeSource &caches,
     NewsPublisher &news)
     : m_loop(loop)
     , m_settings(settings)
@@ -137,7 +137,7 @@
         if (!decoded) {
             continue; // Routers tell of it; a keeper only reads the names of weights.
         }
-        if (const auto *named = std::get_if<Relay::NamedWeights>(&decoded.value())) {
+        if (const auto *named = std::get_if<Relay::AnnouncedWeights>(&decoded.value())) {
             if (takeNamed(*named)) {
                 plan(named->model, dated(naming, row));
             }
@@ -208,7 +208,7 @@
 }
 
 // Returns whether it is news.
-bool WeightsKeeper::takeNamed(const Relay::NamedWeights &named)
+bool WeightsKeeper::takeNamed(const Relay::AnnouncedWeights &named)
 {
     Target &target = m_targets[named.model];
     if (named.version <= target.version) {
--- a/src/libs/weights/weightskeeper.h
+++ b/src/libs/weights/weightskeeper.h
@@ -7,7 +7,7 @@
 #include <decisions/relay/orderlease.h>
 #include <decisions/relay/weightsschedule.h>
 #include <eventloop/timer.h>
-#include <relay/cachewatch.h>
+#include <relay/cachemonitor.h>
 #include <relay/deploymentdecoder.h>
 #include <store/storeclockestimate.h>
 #include <store/tablefollower.h>
@@ -44,7 +44,7 @@
         Store::RowStore &orderRows,
         const Relay::DeploymentDecoder &decoder,
         EngineControl &engine,
-        Relay::CacheNewsSource &caches,
+        Relay::CacheChangeSource &caches,
         NewsPublisher &news);
     ~WeightsKeeper() override;
 
@@ -71,7 +71,7 @@
     void takeWatch(const verbena::wire::EngineWatch &watch);
     void followStoreIfUnwatched();
     void takeTurn(const verbena::wire::WeightsTurn &told);
-    bool takeNamed(const Relay::NamedWeights &named);
+    bool takeNamed(const Relay::AnnouncedWeights &named);
     bool isOutOfDate(const std::string &model, std::uint64_t version) const;
     bool isOwed(const std::string &model, const Target &target) const;
     void plan(const std::string &model, const Decisions::WeightsAnnouncement &naming);
@@ -97,7 +97,7 @@
     const Relay::DeploymentDecoder &m_decoder;
     EngineControl &m_engine;
     NewsPublisher &m_news;
-    Relay::CacheWatch m_cache;
+    Relay::CacheMonitor m_cache;
     std::uint64_t m_publishedRevision = 0; ///< Of the cache.
     Core::TimePoint m_publishedWhole{}; ///< When routers were last told all that is cached.
     EventLoop::Timer m_timer;
--- a/tests/auto/platform/tst_translation.cpp
+++ b/tests/auto/platform/tst_translation.cpp
@@ -185,7 +185,7 @@
     const auto removed = decoder.decode("servers", {"i-1", "", 2, true});
     EXPECT_EQ(std::get<Relay::RemovedServer>(removed.value()).id, "i-1");
     const auto weights = decoder.decode("op", {"version/m", R"({"model":"m","version":5})", 3, false});
-    EXPECT_EQ(std::get<Relay::NamedWeights>(weights.value()).version, 5U);
+    EXPECT_EQ(std::get<Relay::AnnouncedWeights>(weights.value()).version, 5U);
     EXPECT_TRUE(std::holds_alternative<std::monostate>(decoder.decode("op", {"other", "{", 3, false}).value()));
 }
 
--- a/tests/auto/relay/tablemodel.cpp
+++ b/tests/auto/relay/tablemodel.cpp
@@ -25,7 +25,7 @@
 // A follower sends a request to an elected router once per third of the bound, and more often to the store while it does not answer.
 constexpr std::uint64_t stepsBetweenRequests = 8;
 
-// Latest renewal age of AgeWatch.
+// Latest renewal age of TableAgeMonitor.
 constexpr milliseconds renewAge = bound * 6 / 10;
 constexpr std::uint64_t stepsBetweenRenewals = 2;
 
--- a/tests/auto/relay/tst_peerrows.cpp
+++ b/tests/auto/relay/tst_peerrowsource.cpp
@@ -1,5 +1,5 @@
 #include <platform/workerfake.h>
-#include <relay/peerrows.h>
+#include <relay/peerrowsource.h>
 
 #include <gtest/gtest.h>
 
@@ -13,7 +13,7 @@
 
 using namespace std::chrono_literals;
 
-/// A store that turns this host away.
+// Store that refuses this host's requests.
 class RefusingStore : public Store::RowSource
 {
 public:
@@ -30,18 +30,18 @@
 private:
     static Core::Error failure()
     {
-        return {Core::ErrorCode::Unavailable, "store", "", "It turns this host away."};
+        return {Core::ErrorCode::Unavailable, "store", "", "The store refuses requests of this host."};
     }
 };
 
-class PeerRowsTest : public testing::Test
+class PeerRowSourceTest : public testing::Test
 {
 protected:
-    PeerRowsTest()
+    PeerRowSourceTest()
         : m_loop(std::move(EventLoop::Loop::create().value()))
         , m_network("127.77." + std::to_string(1 + getpid() % 250) + '.')
-        , m_served(std::move(PeerRows::create(*m_loop, m_network + "1", port, m_store, 1).value()))
-        , m_refused(std::move(PeerRows::create(*m_loop, m_network + "2", port, m_store, 2).value()))
+        , m_served(std::move(PeerRowSource::create(*m_loop, m_network + "1", port, m_store, 1).value()))
+        , m_unserved(std::move(PeerRowSource::create(*m_loop, m_network + "2", port, m_store, 2).value()))
     {
         m_served->mirror().replace("op", {{{"a", "1", 3, false}, {"b", "1", 5, false}}, 5, false});
         m_served->mirror().applyChanges("op", {{{"a", "2", 8, false}, {"b", "", 9, true}}, 9, false});
@@ -50,7 +50,7 @@
     Core::Result<Store::RowPage> follow(std::uint64_t after)
     {
         std::optional<Core::Result<Store::RowPage>> result;
-        m_refused->awaitChanges("op", after, m_loop->now(), m_loop->now() + 10s, [&result](Core::Result<Store::RowPage> page) { result = std::move(page); });
+        m_unserved->awaitChanges("op", after, m_loop->now(), m_loop->now() + 10s, [&result](Core::Result<Store::RowPage> page) { result = std::move(page); });
         EXPECT_TRUE(Verbena::Test::runUntil(*m_loop, [&result] { return result.has_value(); }));
         return std::move(*result);
     }
@@ -60,13 +60,13 @@
     std::unique_ptr<EventLoop::Loop> m_loop;
     std::string m_network;
     RefusingStore m_store;
-    std::unique_ptr<PeerRows> m_served;
-    std::unique_ptr<PeerRows> m_refused;
+    std::unique_ptr<PeerRowSource> m_served;
+    std::unique_ptr<PeerRowSource> m_unserved;
 };
 
-TEST_F(PeerRowsTest, learnsFromAPeerWhatTheStoreDoesNotSay)
+TEST_F(PeerRowSourceTest, returnsRowsOfAPeerIfTheStoreRefuses)
 {
-    m_refused->book().note(m_network + "1", m_loop->now());
+    m_unserved->peerTable().add(m_network + "1", m_loop->now());
     const auto page = follow(5);
     ASSERT_TRUE(page) << page.error().message;
     EXPECT_EQ(page.value().revision, 9U);
@@ -75,69 +75,69 @@
     EXPECT_TRUE(page.value().rows[1].isDeleted);
 }
 
-TEST_F(PeerRowsTest, takesNothingOldFromAPeer)
+TEST_F(PeerRowSourceTest, ignoresOldRowsOfAPeer)
 {
-    m_refused->book().note(m_network + "1", m_loop->now());
+    m_unserved->peerTable().add(m_network + "1", m_loop->now());
     EXPECT_FALSE(follow(9));
     EXPECT_FALSE(follow(12));
 }
 
-TEST_F(PeerRowsTest, failsAsTheStoreDoesWithoutPeers)
+TEST_F(PeerRowSourceTest, returnsTheStoresErrorWithoutPeers)
 {
-    m_refused->book().note(m_network + "2", m_loop->now());
+    m_unserved->peerTable().add(m_network + "2", m_loop->now());
     const auto page = follow(5);
     ASSERT_FALSE(page);
     EXPECT_EQ(page.error().step, "store");
 }
 
-/// A store that answers at once what a test wants.
+// Store that answers at once with the page that a test sets.
 class AnsweringStore : public Store::RowSource
 {
 public:
     Store::RowPage page;
-    int questions = 0;
+    int requests = 0;
 
     void readTable(const std::string &, Core::TimePoint, PageCallback done) override
     {
-        ++questions;
+        ++requests;
         done(page);
     }
 
     void awaitChanges(const std::string &, std::uint64_t, Core::TimePoint, Core::TimePoint, PageCallback done) override
     {
-        ++questions;
+        ++requests;
         done(page);
     }
 };
 
-// A router that the store answers, and one that asks it in place of the store.
-class FreshRowsTest : public testing::Test
+// Tests a router that the store answers, and another one that sends its requests to that router instead of the store.
+class AwaitFreshTest : public testing::Test
 {
 protected:
-    FreshRowsTest()
+    AwaitFreshTest()
         : m_loop(std::move(EventLoop::Loop::create().value()))
         , m_network("127.78." + std::to_string(1 + getpid() % 250) + '.')
-        , m_elected(std::move(PeerRows::create(*m_loop, m_network + "1", port, m_store, 1).value()))
-        , m_asking(std::move(PeerRows::create(*m_loop, m_network + "2", port, m_refusing, 2).value()))
+        , m_elected(std::move(PeerRowSource::create(*m_loop, m_network + "1", port, m_store, 1).value()))
+        , m_requester(std::move(PeerRowSource::create(*m_loop, m_network + "2", port, m_refusing, 2).value()))
     {
         m_store.page = {{{"a", "1", 3, false}}, 7, false};
         m_store.page.answeredAt = Store::StoreTime(100s);
         m_elected->mirror().replace("op", {m_store.page.rows, 3, false});
     }
 
-    // The store's word, taken as by a follower.
-    void hear()
+    // Receives an answer of the store like a follower.
+    void receiveStoreAnswer()
     {
-        const auto take = [this](const Core::Result<Store::RowPage> &page) {
+        const auto handle = [this](const Core::Result<Store::RowPage> &page) {
             m_elected->mirror().setVerified("op", *page.value().answeredAt, page.value().revision);
         };
-        m_elected->awaitChanges("op", 3, m_loop->now(), m_loop->now() + 10s, take);
+        m_elected->awaitChanges("op", 3, m_loop->now(), m_loop->now() + 10s, handle);
     }
 
-    void ask(std::uint64_t after, std::chrono::milliseconds wait)
+    void sendRequest(std::uint64_t after, std::chrono::milliseconds wait)
     {
         m_answer.reset();
-        m_asking->awaitFresh(m_network + "1", "op", after, m_loop->now() + wait, [this](Core::Result<Store::RowPage> page) { m_answer = std::move(page); });
+        m_requester->awaitFresh(m_network + "1", "op", after, m_loop->now() + wait, [this](Core::Result<Store::RowPage> page) { m_answer = std::move(page); });
     }
 
     Core::Result<Store::RowPage> answer()
@@ -152,47 +152,47 @@
     std::string m_network;
     AnsweringStore m_store;
     RefusingStore m_refusing;
-    std::unique_ptr<PeerRows> m_elected;
-    std::unique_ptr<PeerRows> m_asking;
+    std::unique_ptr<PeerRowSource> m_elected;
+    std::unique_ptr<PeerRowSource> m_requester;
     std::optional<Core::Result<Store::RowPage>> m_answer;
 };
 
-TEST_F(FreshRowsTest, takesWhatAnElectedRouterKnowsAsTheStoresWord)
+TEST_F(AwaitFreshTest, returnsAnElectedRoutersRowsAsTheStoresAnswer)
 {
-    hear();
-    ask(3, 0ms);
+    receiveStoreAnswer();
+    sendRequest(3, 0ms);
     const auto page = answer();
     ASSERT_TRUE(page);
-    // As far as the store has spoken, although nothing of this table changed since.
+    // The revision of the store's answer, although this table has not changed since revision 3.
     EXPECT_EQ(page.value().revision, 7U);
     EXPECT_TRUE(page.value().rows.empty());
     EXPECT_FALSE(page.value().isFromPeer);
 }
 
-TEST_F(FreshRowsTest, hearsOfAChangeAsSoonAsTheElectedRouterDoes)
+TEST_F(AwaitFreshTest, receivesAChangeAsSoonAsTheElectedRouterDoes)
 {
-    hear();
-    ask(7, 30s);
+    receiveStoreAnswer();
+    sendRequest(7, 30s);
     m_store.page = {{{"a", "2", 9, false}}, 9, false};
     m_store.page.answeredAt = Store::StoreTime(100s);
     m_elected->mirror().applyChanges("op", m_store.page);
-    hear();
+    receiveStoreAnswer();
     const auto page = answer();
     ASSERT_TRUE(page);
     ASSERT_EQ(page.value().rows.size(), 1U);
     EXPECT_EQ(page.value().rows.front().value, "2");
 }
 
-// The routers that are not elected hear of new weights from one that is; how old they are must come with them.
-TEST_F(FreshRowsTest, hearsWhenAChangeWasMadeAndWhatTheStoresClockSays)
+// Routers that are not elected receive new weights from an elected one, which has to send their age too.
+TEST_F(AwaitFreshTest, receivesCommitTimesAndTheStoresClock)
 {
     m_store.page.answeredAt = Store::StoreTime(100s);
-    hear();
-    ask(7, 30s);
+    receiveStoreAnswer();
+    sendRequest(7, 30s);
     m_store.page.rows = {{"a", "2", 9, false, Store::StoreTime(99s)}};
     m_store.page.revision = 9;
     m_elected->mirror().applyChanges("op", m_store.page);
-    hear();
+    receiveStoreAnswer();
     const auto page = answer();
     ASSERT_TRUE(page);
     ASSERT_EQ(page.value().rows.size(), 1U);
@@ -202,20 +202,20 @@
     EXPECT_FALSE(page.value().answeredAt.has_value());
 }
 
-// An elected router that is cut off from the store must not keep others from what it says.
-TEST_F(FreshRowsTest, takesNothingFromARouterThatHasNotHeardOfTheStoreLately)
+// An elected router that is disconnected from the store must not prevent others from receiving the store's changes.
+TEST_F(AwaitFreshTest, rejectsARouterWithoutARecentAnswerOfTheStore)
 {
-    ask(3, 0ms);
+    sendRequest(3, 0ms);
     EXPECT_FALSE(answer());
-    hear();
-    ask(7, 30s);
+    receiveStoreAnswer();
+    sendRequest(7, 30s);
     EXPECT_FALSE(answer());
 }
 
-// An answer that is older than what is known was taken for the store's word of the present, and others were told that nothing had changed.
-TEST_F(FreshRowsTest, takesNothingFromARouterThatHearsOnlyThePast)
+// Guards against treating a stale answer of the store as current and reporting to others that nothing has changed.
+TEST_F(AwaitFreshTest, rejectsARouterThatReceivesOnlyStaleAnswers)
 {
-    hear();
+    receiveStoreAnswer();
     const Core::TimePoint end = m_loop->now() + 2500ms;
     m_store.page.revision = 5;
     while (m_loop->now() < end) {
@@ -224,28 +224,28 @@
         const Core::TimePoint next = m_loop->now() + 100ms;
         Verbena::Test::runUntil(*m_loop, [this, next] { return m_loop->now() >= next; });
     }
-    ask(7, 0ms);
+    sendRequest(7, 0ms);
     EXPECT_FALSE(answer());
 }
 
-// A router that stood still took what it had heard before for news of the present, as its clock had stood still with it.
-TEST_F(FreshRowsTest, takesNothingFromARouterThatKnowsThatTheStoresClockWentOn)
+// Guards against a router that was suspended and treats earlier answers as current because its clock was stopped too.
+TEST_F(AwaitFreshTest, rejectsARouterWhoseCopyIsOldByTheStoresClock)
 {
     m_elected->mirror().setVerified("op", Store::StoreTime(95s), 7);
     m_elected->awaitChanges("other", 3, m_loop->now(), m_loop->now() + 10s, [](const Core::Result<Store::RowPage> &) {});
-    ask(7, 0ms);
+    sendRequest(7, 0ms);
     EXPECT_FALSE(answer());
 }
 
-TEST_F(FreshRowsTest, takesNothingFromARouterThatKnowsLess)
+TEST_F(AwaitFreshTest, rejectsARouterAtAnEarlierRevision)
 {
-    hear();
-    ask(8, 0ms);
+    receiveStoreAnswer();
+    sendRequest(8, 0ms);
     EXPECT_FALSE(answer());
 }
 
-// Whoever missed two changes of a row gets it once, and must not take the first one for as young as the last.
-TEST(RowMirrorTest, datesARowByTheFirstChangeThatTheAskerMissed)
+// A requester that missed two changes of a row receives it once and must not assume that the first change is as recent as the last.
+TEST(RowMirrorTest, setsTheCommitTimeOfTheFirstMissedChange)
 {
     Store::RowMirror mirror;
     mirror.replace("op", {{{"a", "1", 3, false}}, 3, false});
@@ -254,7 +254,7 @@
     EXPECT_EQ(mirror.changesSince("op", 4).rows.at(0).committedAfter, Store::StoreTime(20s));
     EXPECT_EQ(mirror.changesSince("op", 3).rows.at(0).committedAfter, Store::StoreTime(10s));
     EXPECT_EQ(mirror.changesSince("op", 0).rows.at(0).committedAfter, std::nullopt);
-    // Read again as a whole: the row is the same, and so are its dates.
+    // After the whole table is read again, the row and its commit times are the same.
     mirror.replace("op", {{{"a", "3", 5, false}}, 7, false});
     EXPECT_EQ(mirror.changesSince("op", 0).rows.at(0).committedAfter, std::nullopt);
     for (std::uint64_t revision = 8; revision < 16; ++revision) {
@@ -264,7 +264,7 @@
     EXPECT_EQ(mirror.changesSince("op", 12).rows.at(0).committedAfter, Store::StoreTime(30s));
 }
 
-TEST(RowMirrorTest, saysThatHistoryIsLostBeforeItsFirstWholeReading)
+TEST(RowMirrorTest, reportsLostHistoryBeforeTheFirstWholeTable)
 {
     Store::RowMirror mirror;
     mirror.replace("op", {{{"a", "1", 3, false}}, 5, false});
--- a/tests/auto/relay/tst_silentpeers.cpp
+++ b/tests/auto/relay/tst_silentpeers.cpp
@@ -1,9 +1,9 @@
 #include "plainprotocol.h"
 
 #include <platform/workerfake.h>
-#include <relay/peerrows.h>
+#include <relay/peerrowsource.h>
 #include <relay/relaytask.h>
-#include <relay/sharedrows.h>
+#include <relay/sharedrowsource.h>
 #include <store/tablefollower.h>
 
 #include <gtest/gtest.h>
@@ -24,12 +24,12 @@
     return Store::StoreTime(std::chrono::floor<std::chrono::milliseconds>(Core::BootClock::now().time_since_epoch()));
 }
 
-/// A store that tells a change to those who wait for it at once; its clock is the host's.
+// Store that answers pending requests as soon as something changes. Its clock is the host's clock.
 class PromptStore : public Store::RowSource
 {
 public:
     Store::RowPage present{{}, 5, false};
-    std::uint64_t questions = 0;
+    std::uint64_t requests = 0;
 
     void readTable(const std::string &, Core::TimePoint, PageCallback done) override
     {
@@ -38,7 +38,7 @@
 
     void awaitChanges(const std::string &, std::uint64_t revision, Core::TimePoint, Core::TimePoint, PageCallback done) override
     {
-        ++questions;
+        ++requests;
         if (revision < present.revision) {
             respond(revision, done);
         } else {
@@ -67,7 +67,7 @@
     PageCallback m_waiting;
 };
 
-class Dates : public Store::RowConsumer
+class CommitTimes : public Store::RowConsumer
 {
 public:
     void replaceRows(const std::string &, const Store::RowPage &) override
@@ -99,8 +99,8 @@
     std::map<std::string, std::optional<Store::StoreTime>> byKey;
 };
 
-// A router that is not elected asks an elected one first, which may be lost; all that time nobody waits at the store in its place.
-TEST(SilentPeersTest, doNotMakeAChangeLookYoungerByTheTimeInWhichTheyWereAskedInVain)
+// A router that is not elected sends its request to an elected one first, which may be lost. During that time no request is pending at the store.
+TEST(SilentPeersTest, doNotShortenTheAgeOfAChangeByTheTimeOfUnansweredRequests)
 {
     const auto loop = std::move(EventLoop::Loop::create().value());
     const std::string network = "127.81." + std::to_string(1 + getpid() % 250) + '.';
@@ -124,25 +124,26 @@
         silent.push_back(std::make_unique<Verbena::Test::WorkerFake>(*loop, keep, elected + ':' + std::to_string(port)));
     }
     PromptStore store;
-    const auto peers = std::move(PeerRows::create(*loop, network + "1", port, store, 1).value());
-    SharedRows rows(*loop, *peers, *relay, 1);
-    Dates dates;
-    const Store::TableFollower follower(*loop, rows, "op", 0ms, dates);
-    ASSERT_TRUE(Verbena::Test::runUntil(*loop, [&] { return dates.isRead; }));
+    const auto peers = std::move(PeerRowSource::create(*loop, network + "1", port, store, 1).value());
+    SharedRowSource rows(*loop, *peers, *relay, 1);
+    CommitTimes commitTimes;
+    const Store::TableFollower follower(*loop, rows, "op", 0ms, commitTimes);
+    ASSERT_TRUE(Verbena::Test::runUntil(*loop, [&] { return commitTimes.isRead; }));
     const Core::TimePoint read = loop->now();
     ASSERT_TRUE(Verbena::Test::runUntil(*loop, [&] { return loop->now() >= read + 200ms; }));
-    ASSERT_EQ(store.questions, 0U);
+    ASSERT_EQ(store.requests, 0U);
     const Store::StoreTime made = storeNow();
     store.put({"version/m", "2", 6, false});
 
-    ASSERT_TRUE(Verbena::Test::runUntil(*loop, [&] { return dates.byKey.contains("version/m"); }));
-    const std::optional<Store::StoreTime> date = dates.byKey.at("version/m");
+    ASSERT_TRUE(Verbena::Test::runUntil(*loop, [&] { return commitTimes.byKey.contains("version/m"); }));
+    const std::optional<Store::StoreTime> date = commitTimes.byKey.at("version/m");
     ASSERT_TRUE(date.has_value());
     EXPECT_LE(date->time_since_epoch().count(), made.time_since_epoch().count());
 }
 
-// Each question to a router that was gone cost half the time within which a change has to be in force, though others were known to be there.
-TEST(SharedRowsTest, asksAnElectedRouterThatWasHeardLately)
+// Guards against requests to lost routers, each of which took half the time within which a change has to be in force, while other routers were known to be
+// alive.
+TEST(SharedRowSourceTest, sendsRequestsToAnElectedRouterWithARecentDigest)
 {
     const auto loop = std::move(EventLoop::Loop::create().value());
     const std::string network = "127.82." + std::to_string(1 + getpid() % 250) + '.';
@@ -159,25 +160,25 @@
     relay->noteRouters(routers);
     const std::vector<std::string> elected = relay->electedRouters();
     ASSERT_GT(elected.size(), 2U);
-    std::map<std::string, int> asked;
+    std::map<std::string, int> requestsByRouter;
     std::vector<std::unique_ptr<Verbena::Test::WorkerFake>> fakes;
     for (const std::string &address : elected) {
-        const auto refuse = [&asked, address](const Http::MessageHead &, const std::string &) {
-            ++asked[address];
+        const auto refuse = [&requestsByRouter, address](const Http::MessageHead &, const std::string &) {
+            ++requestsByRouter[address];
             return Verbena::Test::WorkerScript{"HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n"};
         };
         fakes.push_back(std::make_unique<Verbena::Test::WorkerFake>(*loop, refuse, address + ':' + std::to_string(port)));
     }
     PromptStore store;
-    const auto peers = std::move(PeerRows::create(*loop, network + "1", port, store, 1).value());
-    SharedRows rows(*loop, *peers, *relay, 1);
-    peers->book().noteSaid(elected[1], Store::StoreTime(std::chrono::seconds(1)), loop->now());
+    const auto peers = std::move(PeerRowSource::create(*loop, network + "1", port, store, 1).value());
+    SharedRowSource rows(*loop, *peers, *relay, 1);
+    peers->peerTable().recordDigest(elected[1], Store::StoreTime(std::chrono::seconds(1)), loop->now());
     int answers = 0;
     for (int number = 0; number < 10; ++number) {
         rows.awaitChanges("op", 3, loop->now() + 500ms, loop->now() + 900ms, [&answers](const Core::Result<Store::RowPage> &) { ++answers; });
     }
     ASSERT_TRUE(Verbena::Test::runUntil(*loop, [&answers] { return answers == 10; }));
-    EXPECT_EQ(asked, (std::map<std::string, int>{{elected[1], 10}}));
+    EXPECT_EQ(requestsByRouter, (std::map<std::string, int>{{elected[1], 10}}));
 }
 
 } // namespace
--- a/tests/auto/relay/tst_tablegossip.cpp
+++ b/tests/auto/relay/tst_tablegossip.cpp
@@ -21,14 +21,14 @@
     return Store::StoreTime(std::chrono::floor<std::chrono::milliseconds>(Core::BootClock::now().time_since_epoch()));
 }
 
-/// A store that says what a test put into it, at once, and that can fall silent.
+// Store that answers at once with the rows that a test has put into it. It can also become silent or refuse requests.
 class PlainStore : public Store::RowSource
 {
 public:
     std::vector<Store::TableRow> rows;
     std::uint64_t revision = 1;
     bool isSilent = false;
-    bool isBusy = false; ///< Turns whoever asks away at once.
+    bool isRefusing = false; ///< Whether each request fails at once.
 
     void readTable(const std::string &, Core::TimePoint, PageCallback done) override
     {
@@ -48,7 +48,7 @@
 private:
     void respond(std::uint64_t after, PageCallback done)
     {
-        if (isBusy) {
+        if (isRefusing) {
             done(Core::Error{Core::ErrorCode::Unavailable, "store", "", "It is busy."});
             return;
         }
@@ -65,11 +65,11 @@
     std::vector<PageCallback> m_unanswered;
 };
 
-/// What a router keeps of a table, for others too.
-class Keeper : public Store::RowConsumer
+// Copies the rows of a table into a mirror, like a router.
+class MirrorConsumer : public Store::RowConsumer
 {
 public:
-    explicit Keeper(Store::RowMirror &mirror)
+    explicit MirrorConsumer(Store::RowMirror &mirror)
         : m_mirror(mirror)
     {
     }
@@ -77,13 +77,13 @@
     void replaceRows(const std::string &table, const Store::RowPage &page) override
     {
         m_mirror.replace(table, page);
-        note(page);
+        recordValues(page);
     }
 
     void changeRows(const std::string &table, const Store::RowPage &page) override
     {
         m_mirror.applyChanges(table, page);
-        note(page);
+        recordValues(page);
     }
 
     void sourceLost(const std::string &, const Core::Error &) override
@@ -109,7 +109,7 @@
     std::function<void()> changed;
 
 private:
-    void note(const Store::RowPage &page)
+    void recordValues(const Store::RowPage &page)
     {
         for (const Store::TableRow &row : page.rows) {
             values[row.key] = row.value;
@@ -122,25 +122,25 @@
     Store::RowMirror &m_mirror;
 };
 
-/// A router as far as it follows one table.
+// The part of a router that follows one table.
 struct Router
 {
     Router(EventLoop::Loop &loop, const std::string &address, std::uint64_t seed)
-        : peers(std::move(PeerRows::create(loop, address, rowsPort, store, seed, times).value()))
-        , keeper(peers->mirror())
-        , follower(loop, *peers, "op", 200ms, keeper, times)
+        : peers(std::move(PeerRowSource::create(loop, address, rowsPort, store, seed, times).value()))
+        , consumer(peers->mirror())
+        , follower(loop, *peers, "op", 200ms, consumer, times)
         , gossip(std::move(TableGossip::create(loop, Http::Endpoint::parse(address + gossipPort).value(), *peers, times, seed).value()))
     {
-        gossip->follow(follower, TableGossip::Urgency::AtOnce);
-        keeper.changed = [this] {
-            gossip->tellChange();
+        gossip->follow(follower, TableGossip::Urgency::Immediate);
+        consumer.changed = [this] {
+            gossip->announceChange();
         };
     }
 
     Store::FollowTimes times = Store::FollowTimes::within(2s);
     PlainStore store;
-    std::unique_ptr<PeerRows> peers;
-    Keeper keeper;
+    std::unique_ptr<PeerRowSource> peers;
+    MirrorConsumer consumer;
     Store::TableFollower follower;
     std::unique_ptr<TableGossip> gossip;
 };
@@ -157,7 +157,7 @@
         }
         for (const auto &router : m_routers) {
             for (std::uint64_t number = 0; number < m_routers.size(); ++number) {
-                router->peers->book().note(address(number), m_loop->now());
+                router->peers->peerTable().add(address(number), m_loop->now());
             }
         }
         EXPECT_TRUE(Verbena::Test::runUntil(*m_loop, [this] { return m_routers[2]->follower.age().has_value(); }));
@@ -168,9 +168,9 @@
         return m_network + std::to_string(1 + number);
     }
 
-    void pass(std::chrono::milliseconds span)
+    void wait(std::chrono::milliseconds duration)
     {
-        const Core::TimePoint end = m_loop->now() + span;
+        const Core::TimePoint end = m_loop->now() + duration;
         Verbena::Test::runUntil(*m_loop, [this, end] { return m_loop->now() >= end; });
     }
 
@@ -179,63 +179,64 @@
     std::vector<std::unique_ptr<Router>> m_routers;
 };
 
-// What a router knows grew old as soon as the store turned it away, though others could tell it that nothing had changed.
-TEST_F(TableGossipTest, keepsARouterCurrentThatTheStoreTurnsAway)
+// Guards against an outdated copy on a router that the store does not answer although digests of other routers show that nothing has changed.
+TEST_F(TableGossipTest, keepsARouterCurrentThatTheStoreDoesNotAnswer)
 {
     m_routers[2]->store.isSilent = true;
     std::chrono::milliseconds oldest{0};
-    pass(300ms);
+    wait(300ms);
     const Core::TimePoint end = m_loop->now() + 5s;
     while (m_loop->now() < end) {
-        pass(20ms);
+        wait(20ms);
         oldest = std::max(oldest, *m_routers[2]->follower.age());
     }
     EXPECT_LT(oldest, m_routers[2]->times.bound);
-    EXPECT_EQ(m_routers[2]->keeper.losses, 0);
+    EXPECT_EQ(m_routers[2]->consumer.losses, 0);
 }
 
-// Each answer of the store that turned a router away, and each word of the others after it, made it take the store for lost and for regained by turns, and
-// believe entries that were removed.
-TEST_F(TableGossipTest, takesAStoreForServingThatTurnsOnlyItAway)
+// Guards against a router that alternately treats the store as lost, after each refusal, and as regained, after each digest of another router, and so uses
+// entries that were removed.
+TEST_F(TableGossipTest, treatsAStoreThatRefusesOnlyItAsAvailable)
 {
-    m_routers[2]->store.isBusy = true;
-    pass(1s);
-    const int losses = m_routers[2]->keeper.losses;
+    m_routers[2]->store.isRefusing = true;
+    wait(1s);
+    const int losses = m_routers[2]->consumer.losses;
     EXPECT_LE(losses, 1);
-    pass(5s);
-    EXPECT_EQ(m_routers[2]->keeper.losses, losses);
+    wait(5s);
+    EXPECT_EQ(m_routers[2]->consumer.losses, losses);
     for (const auto &router : m_routers) {
-        router->store.isBusy = true;
+        router->store.isRefusing = true;
     }
-    EXPECT_TRUE(Verbena::Test::runUntil(*m_loop, [this] { return m_routers[0]->keeper.losses == 1 && m_routers[2]->keeper.losses > 0; }));
+    EXPECT_TRUE(Verbena::Test::runUntil(*m_loop, [this] { return m_routers[0]->consumer.losses == 1 && m_routers[2]->consumer.losses > 0; }));
 }
 
-TEST_F(TableGossipTest, tellsAChangeAtOnceToARouterThatTheStoreTurnsAway)
+TEST_F(TableGossipTest, sendsAChangeAtOnceToARouterThatTheStoreDoesNotAnswer)
 {
     m_routers[2]->store.isSilent = true;
-    pass(1500ms);
+    wait(1500ms);
     m_routers[0]->store.put("a", "1");
-    ASSERT_TRUE(Verbena::Test::runUntil(*m_loop, [this] { return m_routers[0]->keeper.values.contains("a"); }));
+    ASSERT_TRUE(Verbena::Test::runUntil(*m_loop, [this] { return m_routers[0]->consumer.values.contains("a"); }));
     const Core::TimePoint known = m_loop->now();
-    ASSERT_TRUE(Verbena::Test::runUntil(*m_loop, [this] { return m_routers[2]->keeper.values.contains("a"); }));
+    ASSERT_TRUE(Verbena::Test::runUntil(*m_loop, [this] { return m_routers[2]->consumer.values.contains("a"); }));
     EXPECT_LT(m_loop->now() - known, 300ms);
 }
 
-// Nobody can tell what the store says while it is silent to all, and nobody must think so.
-TEST_F(TableGossipTest, knowsThatItGrowsOldWhileTheStoreIsSilentToAll)
+// While the store answers no router, no copy may be treated as current.
+TEST_F(TableGossipTest, reportsARisingAgeWhileTheStoreAnswersNoRouter)
 {
     for (const auto &router : m_routers) {
         router->store.isSilent = true;
     }
-    // A question that waits at the store shows last that it is not heard there.
-    pass(m_routers[0]->times.maximumWait + m_routers[0]->times.answerTimeout + 500ms);
+    // A pending long poll is the last request to detect that the store does not answer.
+    wait(m_routers[0]->times.maximumWait + m_routers[0]->times.answerTimeout + 500ms);
     for (const auto &router : m_routers) {
         EXPECT_GT(*router->follower.age(), router->times.bound);
-        EXPECT_EQ(router->keeper.losses, 1);
+        EXPECT_EQ(router->consumer.losses, 1);
     }
     m_routers[1]->store.isSilent = false;
     m_routers[1]->store.put("a", "1");
-    EXPECT_TRUE(Verbena::Test::runUntil(*m_loop, [this] { return m_routers[0]->keeper.values.contains("a") && m_routers[2]->keeper.values.contains("a"); }));
+    EXPECT_TRUE(
+        Verbena::Test::runUntil(*m_loop, [this] { return m_routers[0]->consumer.values.contains("a") && m_routers[2]->consumer.values.contains("a"); }));
 }
 
 } // namespace
--- a/tests/auto/relay/tst_weightsnamings.cpp
+++ b/tests/auto/relay/tst_weightsannouncements.cpp
@@ -1,8 +1,8 @@
 #include "plainprotocol.h"
 
 #include <platform/workerfake.h>
-#include <relay/peerrows.h>
-#include <relay/weightsnamings.h>
+#include <relay/peerrowsource.h>
+#include <relay/weightsannouncements.h>
 
 #include <gtest/gtest.h>
 
@@ -16,7 +16,7 @@
 
 using namespace std::chrono_literals;
 
-/// Answers each commit a moment later, as a test wants, and keeps what was to be written.
+// Answers each commit after 1 ms with the answer that a test sets, and records the values to be written.
 class RecordStore : public Store::RowStore
 {
 public:
@@ -56,25 +56,25 @@
     CommitCallback m_done;
 };
 
-/// A store that turns this host away.
+// Store that refuses this host's requests.
 class RefusingStore : public Store::RowSource
 {
 public:
     void readTable(const std::string &, Core::TimePoint, PageCallback done) override
     {
-        done(Core::Error{Core::ErrorCode::Unavailable, "store", "", "It turns this host away."});
+        done(Core::Error{Core::ErrorCode::Unavailable, "store", "", "The store refuses requests of this host."});
     }
 
     void awaitChanges(const std::string &, std::uint64_t, Core::TimePoint, Core::TimePoint, PageCallback done) override
     {
-        done(Core::Error{Core::ErrorCode::Unavailable, "store", "", "It turns this host away."});
+        done(Core::Error{Core::ErrorCode::Unavailable, "store", "", "The store refuses requests of this host."});
     }
 };
 
-class WeightsNamingsTest : public testing::Test
+class WeightsAnnouncementsTest : public testing::Test
 {
 protected:
-    WeightsNamingsTest()
+    WeightsAnnouncementsTest()
         : m_loop(std::move(EventLoop::Loop::create().value()))
         , m_records(*m_loop)
     {
@@ -82,12 +82,12 @@
         settings.listen = Http::Endpoint::parse("127.0.0.1:0").value();
         settings.routerCount = 1;
         m_relay = std::move(RelayTask::create(*m_loop, settings, m_protocol).value());
-        m_namings = std::make_unique<WeightsNamings>(*m_loop, m_records, *m_relay, 8000ms);
+        m_announcements = std::make_unique<WeightsAnnouncements>(*m_loop, m_records, *m_relay, 8000ms);
     }
 
-    void pass(std::chrono::milliseconds span)
+    void wait(std::chrono::milliseconds duration)
     {
-        const Core::TimePoint end = m_loop->now() + span;
+        const Core::TimePoint end = m_loop->now() + duration;
         EXPECT_TRUE(Verbena::Test::runUntil(*m_loop, [&] { return m_loop->now() >= end; }));
     }
 
@@ -100,43 +100,43 @@
     std::unique_ptr<EventLoop::Loop> m_loop;
     RecordStore m_records;
     std::unique_ptr<RelayTask> m_relay;
-    std::unique_ptr<WeightsNamings> m_namings;
+    std::unique_ptr<WeightsAnnouncements> m_announcements;
 };
 
-TEST_F(WeightsNamingsTest, countsWeightsThatNobodyCanDateAsTooOld)
+TEST_F(WeightsAnnouncementsTest, treatsWeightsOfUnknownAgeAsTooOld)
 {
-    m_namings->noteClock({Store::StoreTime(100s), Core::BootClock::now()});
-    m_namings->take({"m", 4}, row(4, 4, std::nullopt), "table");
-    pass(600ms);
+    m_announcements->addClockReading({Store::StoreTime(100s), Core::BootClock::now()});
+    m_announcements->handleAnnouncement({"m", 4}, row(4, 4, std::nullopt), "table");
+    wait(600ms);
     EXPECT_EQ(m_relay->fleet().weightsGoals().at("m").announcedAt, Core::TimePoint::min());
 }
 
-// Who learned of a naming late dates it too early; one that saw it made has written a better date.
-TEST_F(WeightsNamingsTest, asksForABetterDateThanOneThatMayBeFarOff)
+// A router that receives an announcement late sets its time too early. One that received it as it was made has recorded a better time.
+TEST_F(WeightsAnnouncementsTest, readsTheRecordIfTheAnnouncementTimeIsInaccurate)
 {
     m_records.record = Store::TableRow{"m", "3 4 101500\n", 9, false, {}};
-    m_namings->noteClock({Store::StoreTime(102s), Core::BootClock::now()});
-    m_namings->take({"m", 4}, row(4, 4, Store::StoreTime(100s)), "change");
-    pass(100ms);
+    m_announcements->addClockReading({Store::StoreTime(102s), Core::BootClock::now()});
+    m_announcements->handleAnnouncement({"m", 4}, row(4, 4, Store::StoreTime(100s)), "change");
+    wait(100ms);
     EXPECT_GT(m_relay->fleet().weightsGoals().at("m").announcedAt, m_loop->now() - 1s);
 }
 
-TEST_F(WeightsNamingsTest, writesWhatOthersRecordedTogetherWithItsOwn)
+TEST_F(WeightsAnnouncementsTest, mergesTheRecordsOfOthersWithItsOwn)
 {
     m_records.answer = {Store::CommitOutcome::Conflict, 0, {{"m", "1 3 90000\n", 7, false, {}}}, ""};
-    m_namings->noteClock({Store::StoreTime(100s), Core::BootClock::now()});
-    m_namings->take({"m", 4}, row(4, 4, Store::StoreTime(100s)), "change");
+    m_announcements->addClockReading({Store::StoreTime(100s), Core::BootClock::now()});
+    m_announcements->handleAnnouncement({"m", 4}, row(4, 4, Store::StoreTime(100s)), "change");
     ASSERT_TRUE(Verbena::Test::runUntil(*m_loop, [this] { return m_records.values.size() > 1; }));
     EXPECT_EQ(m_records.values[1], "1 3 90000\n0 4 100000\n");
 }
 
-// A naming says nothing of the versions below the one before it: an engine that has one of those may be outdated since long ago.
-TEST_F(WeightsNamingsTest, takesVersionsBelowTheRecordForTooOld)
+// An announcement says nothing about the versions below the previous one: an engine that has one of those may have been outdated for long.
+TEST_F(WeightsAnnouncementsTest, treatsVersionsBelowTheRecordAsTooOld)
 {
     m_records.record = Store::TableRow{"m", "3 4 99500\n", 9, false, {}};
-    m_namings->noteClock({Store::StoreTime(100s), Core::BootClock::now()});
-    m_namings->take({"m", 4}, row(4, 4, std::nullopt), "table");
-    pass(50ms);
+    m_announcements->addClockReading({Store::StoreTime(100s), Core::BootClock::now()});
+    m_announcements->handleAnnouncement({"m", 4}, row(4, 4, std::nullopt), "table");
+    wait(50ms);
     Decisions::FleetChoice choice;
     choice.weightsVersion = 3;
     EXPECT_GT(m_relay->fleet().callBackTime(choice, "m"), m_loop->now() + 5s);
@@ -144,97 +144,97 @@
     EXPECT_LT(m_relay->fleet().callBackTime(choice, "m"), m_loop->now());
 }
 
-TEST_F(WeightsNamingsTest, writesEachNamingOnceAndTellsAgentsOnce)
+TEST_F(WeightsAnnouncementsTest, recordsAndSendsEachAnnouncementOnce)
 {
     int announced = 0;
     m_relay->setWeightsObserver([&announced] { ++announced; });
-    m_namings->noteClock({Store::StoreTime(100s), Core::BootClock::now()});
-    m_namings->take({"m", 4}, row(4, 4, Store::StoreTime(100s)), "change");
+    m_announcements->addClockReading({Store::StoreTime(100s), Core::BootClock::now()});
+    m_announcements->handleAnnouncement({"m", 4}, row(4, 4, Store::StoreTime(100s)), "change");
     EXPECT_EQ(announced, 1);
-    pass(900ms);
+    wait(900ms);
     EXPECT_EQ(m_records.values, std::vector<std::string>{"0 4 100000\n"});
-    m_namings->take({"m", 5}, row(5, 5, Store::StoreTime(100s + 900ms)), "change");
-    pass(900ms);
+    m_announcements->handleAnnouncement({"m", 5}, row(5, 5, Store::StoreTime(100s + 900ms)), "change");
+    wait(900ms);
     ASSERT_EQ(m_records.values.size(), 2U);
     EXPECT_EQ(m_records.values[1], "0 4 100000\n4 5 100900\n");
     EXPECT_EQ(announced, 2);
 }
 
-// A router that starts learns of a naming with the whole table, and agents hear of it with its date, or when it is clear that nobody has one.
-TEST_F(WeightsNamingsTest, tellsAgentsOfAnUndatedNamingOnceTheRecordWasAsked)
+// A router that starts receives an announcement with the whole table. It sends it to agents once its time is known, or once it is clear that there is none.
+TEST_F(WeightsAnnouncementsTest, sendsAnAnnouncementWithoutTimeOnceTheRecordWasRead)
 {
     int announced = 0;
     m_relay->setWeightsObserver([&announced] { ++announced; });
-    m_namings->noteClock({Store::StoreTime(100s), Core::BootClock::now()});
-    m_namings->take({"m", 4}, row(4, 4, std::nullopt), "table");
-    pass(6s);
+    m_announcements->addClockReading({Store::StoreTime(100s), Core::BootClock::now()});
+    m_announcements->handleAnnouncement({"m", 4}, row(4, 4, std::nullopt), "table");
+    wait(6s);
     EXPECT_EQ(announced, 1);
     EXPECT_LE(m_records.reads, 6);
     EXPECT_GE(m_records.reads, 3);
     EXPECT_TRUE(m_records.values.empty());
 }
 
-// Who learned of a naming seconds late, and finds no record, writes the date that it can prove.
-TEST_F(WeightsNamingsTest, writesADateThatMayBeTooEarlyWhereThereIsNone)
+// A router that receives an announcement seconds late and finds no record writes the time that it can prove.
+TEST_F(WeightsAnnouncementsTest, recordsATimeThatMayBeTooEarlyIfThereIsNone)
 {
-    m_namings->noteClock({Store::StoreTime(102s), Core::BootClock::now()});
-    m_namings->take({"m", 4}, row(4, 4, Store::StoreTime(100s)), "change");
+    m_announcements->addClockReading({Store::StoreTime(102s), Core::BootClock::now()});
+    m_announcements->handleAnnouncement({"m", 4}, row(4, 4, Store::StoreTime(100s)), "change");
     ASSERT_TRUE(Verbena::Test::runUntil(*m_loop, [this] { return !m_records.values.empty(); }));
     EXPECT_EQ(m_records.values[0], "0 4 100000\n");
 }
 
-// A conflict names the rows that stand there; where the record is gone there are none to name.
-TEST_F(WeightsNamingsTest, doesNotWriteWithoutPauseWhileTheStoreReportsAConflictWithoutRows)
+// A conflict contains the current rows; if the record was deleted there are none.
+TEST_F(WeightsAnnouncementsTest, doesNotWriteWithoutPauseWhileTheStoreReportsAConflictWithoutRows)
 {
     m_records.answer.outcome = Store::CommitOutcome::Conflict;
-    m_namings->noteClock({Store::StoreTime(100s), Core::BootClock::now()});
-    m_namings->take({"m", 4}, row(4, 4, Store::StoreTime(100s)), "change");
-    pass(600ms);
+    m_announcements->addClockReading({Store::StoreTime(100s), Core::BootClock::now()});
+    m_announcements->handleAnnouncement({"m", 4}, row(4, 4, Store::StoreTime(100s)), "change");
+    wait(600ms);
     EXPECT_LE(m_records.values.size(), 4U);
 }
 
-// A date that the store has not reached yet is wrong, whoever wrote it: the row was garbled, or the store's clock began anew. Believed, it would let old
-// weights be used until that moment.
-TEST_F(WeightsNamingsTest, doesNotBelieveADateThatIsStillToCome)
+// A time in the future of the store's clock is wrong: the row was corrupted, or the store's clock was reset. If it were used, old weights would be allowed
+// until that time.
+TEST_F(WeightsAnnouncementsTest, ignoresATimeInTheFuture)
 {
     m_records.record = Store::TableRow{"m", "3 4 900000\n", 9, false, {}};
-    m_namings->noteClock({Store::StoreTime(100s), Core::BootClock::now()});
-    m_namings->take({"m", 4}, row(4, 4, std::nullopt), "table");
-    pass(100ms);
+    m_announcements->addClockReading({Store::StoreTime(100s), Core::BootClock::now()});
+    m_announcements->handleAnnouncement({"m", 4}, row(4, 4, std::nullopt), "table");
+    wait(100ms);
     EXPECT_GT(m_records.reads, 0);
     EXPECT_LE(m_relay->fleet().weightsGoals().at("m").announcedAt, m_loop->now());
 }
 
-// The peer knows the row only as it stands: dated by the last of two changes of which the asker missed both.
-TEST_F(WeightsNamingsTest, datesTheFirstOfTwoNamingsThatAPeerTellsAtOnce)
+// The requester missed two changes of a row. The peer has only the current row, with the commit time of the last change.
+TEST_F(WeightsAnnouncementsTest, usesTheTimeOfTheFirstOfTwoAnnouncementsFromAPeer)
 {
     RefusingStore refusing;
     const std::string network = "127.79." + std::to_string(1 + getpid() % 250) + '.';
     constexpr std::uint16_t port = 7340;
-    const auto peer = std::move(PeerRows::create(*m_loop, network + "1", port, refusing, 1).value());
-    const auto own = std::move(PeerRows::create(*m_loop, network + "2", port, refusing, 2).value());
-    own->book().note(network + "1", m_loop->now());
-    const Store::StoreTime firstNamed(100s);
+    const auto peer = std::move(PeerRowSource::create(*m_loop, network + "1", port, refusing, 1).value());
+    const auto own = std::move(PeerRowSource::create(*m_loop, network + "2", port, refusing, 2).value());
+    own->peerTable().add(network + "1", m_loop->now());
+    const Store::StoreTime firstAnnounced(100s);
     peer->mirror().replace("op", {{row(3, 3, std::nullopt)}, 3, false});
-    peer->mirror().applyChanges("op", {{row(4, 4, firstNamed)}, 4, false});
-    peer->mirror().applyChanges("op", {{row(5, 5, firstNamed + 3s)}, 5, false});
-    m_namings->noteClock({firstNamed + 3500ms, Core::BootClock::now()});
-    m_namings->take({"m", 3}, row(3, 3, std::nullopt), "table");
+    peer->mirror().applyChanges("op", {{row(4, 4, firstAnnounced)}, 4, false});
+    peer->mirror().applyChanges("op", {{row(5, 5, firstAnnounced + 3s)}, 5, false});
+    m_announcements->addClockReading({firstAnnounced + 3500ms, Core::BootClock::now()});
+    m_announcements->handleAnnouncement({"m", 3}, row(3, 3, std::nullopt), "table");
 
     std::optional<Core::Result<Store::RowPage>> page;
     own->awaitChanges("op", 3, m_loop->now(), m_loop->now() + 1s, [&page](Core::Result<Store::RowPage> answer) { page = std::move(answer); });
     ASSERT_TRUE(Verbena::Test::runUntil(*m_loop, [&page] { return page.has_value(); }));
     ASSERT_TRUE(*page);
-    for (const Store::TableRow &told : page->value().rows) {
-        m_namings->take({"m", std::stoull(told.value)}, told, "change");
+    for (const Store::TableRow &changed : page->value().rows) {
+        m_announcements->handleAnnouncement({"m", std::stoull(changed.value)}, changed, "change");
     }
-    pass(600ms);
+    wait(600ms);
     for (const std::string &value : m_records.values) {
         const auto record = Decisions::WeightsRecord::decode(value);
         ASSERT_TRUE(record);
         for (const Decisions::DatedWeights &dated : record.value().entries()) {
             if (dated.after < 4 && dated.version >= 4) {
-                EXPECT_LE(dated.notBefore, firstNamed) << value;
+                EXPECT_LE(dated.notBefore, firstAnnounced) << value;
             }
         }
     }
