--- a/src/libs/relay/crashguard.cpp
+++ b/src/libs/relay/crashguard.cpp
@@ -63,7 +63,7 @@
     EventLoop::Loop &loop, Store::RowSource &source, Store::RowMirror &mirror, Store::RowStore &store, RelayTask &relay, const Store::FollowTimes &times)
     : m_loop(loop)
     , m_mirror(mirror)
-    , m_report(mirror)
+    , m_reporter(mirror)
     , m_store(store)
     , m_relay(relay)
     , m_writer(loop, store, crashTable)
@@ -81,12 +81,12 @@
 
 void CrashGuard::join(TableGossip &gossip)
 {
-    gossip.follow(m_follower, TableGossip::Urgency::OnceAged);
+    gossip.follow(m_follower, TableGossip::Urgency::WhenOutdated);
 }
 
-void CrashGuard::showAge(AgeWatch &watch)
+void CrashGuard::showAge(TableAgeMonitor &monitor)
 {
-    watch.watch(crashTable, [this] { return m_follower.age(); });
+    monitor.add(crashTable, [this] { return m_follower.age(); });
 }
 
 bool CrashGuard::hasRecords() const
@@ -242,7 +242,7 @@
 
 void CrashGuard::changeRows(const std::string &table, const Store::RowPage &page)
 {
-    m_mirror.change(table, page);
+    m_mirror.applyChanges(table, page);
     for (const TableRow &row : page.rows) {
         applyRow(row, "store");
     }
@@ -286,23 +286,23 @@
 void CrashGuard::sourceLost(const std::string &table, const Core::Error &error)
 {
     m_isStoreLost = true;
-    m_report.lost(table, error);
+    m_reporter.handleLost(table, error);
 }
 
 void CrashGuard::sourceRegained(const std::string &table)
 {
     m_isStoreLost = false;
-    m_report.regained(table);
+    m_reporter.handleRegained(table);
 }
 
 void CrashGuard::tableVerified(const std::string &table, Store::StoreTime verifiedAt, std::uint64_t coveredRevision)
 {
-    m_report.verified(table, verifiedAt, coveredRevision);
+    m_reporter.handleVerified(table, verifiedAt, coveredRevision);
 }
 
-void CrashGuard::answerRefused(const std::string &table, const Store::RefusedAnswer &answer)
+void CrashGuard::staleAnswerReceived(const std::string &table, const Store::StaleAnswer &answer)
 {
-    m_report.refused(table, answer);
+    m_reporter.handleStaleAnswer(table, answer);
 }
 
 void CrashGuard::announce(const std::vector<TableRow> &rows)
--- a/src/libs/relay/crashguard.h
+++ b/src/libs/relay/crashguard.h
@@ -1,12 +1,12 @@
 #pragma once
 
-#include "agewatch.h"
 #include "crashcontrol.h"
 #include "crashgossip.h"
 #include "crashrowwriter.h"
-#include "feedreport.h"
+#include "feedreporter.h"
 #include "lostcallchecker.h"
 #include "relaytask.h"
+#include "tableagemonitor.h"
 #include "tablegossip.h"
 
 #include <core/lifetime.h>
@@ -47,8 +47,8 @@
     /// \brief Shares the table of crashes with other routers by \a gossip, which must live as long as this object.
     void join(TableGossip &gossip);
 
-    /// \brief Lets \a watch monitor the age of the table of crashes.
-    void showAge(AgeWatch &watch);
+    /// \brief Lets \a monitor follow the age of the table of crashes.
+    void showAge(TableAgeMonitor &monitor);
 
     bool hasRecords() const override;
     bool isSuspected(const Decisions::RequestIdentity &request) const override;
@@ -73,7 +73,7 @@
     void sourceLost(const std::string &table, const Core::Error &error) override;
     void sourceRegained(const std::string &table) override;
     void tableVerified(const std::string &table, Store::StoreTime verifiedAt, std::uint64_t coveredRevision) override;
-    void answerRefused(const std::string &table, const Store::RefusedAnswer &answer) override;
+    void staleAnswerReceived(const std::string &table, const Store::StaleAnswer &answer) override;
     void applyRow(const Store::TableRow &row, const char *source);
     void applyRecord(const Decisions::CrashRecord &record, bool isDeleted, const char *source);
     void record(const LostCall &call, const char *proof);
@@ -85,7 +85,7 @@
 
     EventLoop::Loop &m_loop;
     Store::RowMirror &m_mirror;
-    FeedReport m_report;
+    FeedReporter m_reporter;
     Store::RowStore &m_store;
     RelayTask &m_relay;
     Decisions::CrashHistory m_history;
--- a/src/libs/weights/weightskeeper.cpp
+++ b/src/libs/weights/weightskeeper.cpp
@@ -91,7 +91,7 @@
     Store::RowStore &orderRows,
     const Relay::DeploymentDecoder &decoder,
     EngineControl &engine,
-    Relay::CacheNewsSource &caches,
+    Relay::CacheChangeSource &caches,
     NewsPublisher &news)
     : m_loop(loop)
     , m_settings(settings)
@@ -130,14 +130,14 @@
 void WeightsKeeper::takeDeclarations(const std::string &table, const Store::RowPage &page, const Decisions::WeightsAnnouncement &naming)
 {
     if (page.clock.has_value()) {
-        m_storeClock.note(*page.clock);
+        m_storeClock.addReading(*page.clock);
     }
     for (const Store::TableRow &row : page.rows) {
         const auto decoded = m_decoder.decode(table, row);
         if (!decoded) {
             continue; // Routers tell of it; a keeper only reads the names of weights.
         }
-        if (const auto *named = std::get_if<Relay::NamedWeights>(&decoded.value())) {
+        if (const auto *named = std::get_if<Relay::AnnouncedWeights>(&decoded.value())) {
             if (takeNamed(*named)) {
                 plan(named->model, dated(naming, row));
             }
@@ -167,7 +167,7 @@
 {
 }
 
-void WeightsKeeper::answerRefused(const std::string &, const Store::RefusedAnswer &)
+void WeightsKeeper::staleAnswerReceived(const std::string &, const Store::StaleAnswer &)
 {
 }
 
@@ -208,7 +208,7 @@
 }
 
 // Returns whether it is news.
-bool WeightsKeeper::takeNamed(const Relay::NamedWeights &named)
+bool WeightsKeeper::takeNamed(const Relay::AnnouncedWeights &named)
 {
     Target &target = m_targets[named.model];
     if (named.version <= target.version) {
--- a/src/libs/weights/weightskeeper.h
+++ b/src/libs/weights/weightskeeper.h
@@ -7,7 +7,7 @@
 #include <decisions/relay/orderlease.h>
 #include <decisions/relay/weightsschedule.h>
 #include <eventloop/timer.h>
-#include <relay/cachewatch.h>
+#include <relay/cachemonitor.h>
 #include <relay/deploymentdecoder.h>
 #include <store/storeclockestimate.h>
 #include <store/tablefollower.h>
@@ -44,7 +44,7 @@
         Store::RowStore &orderRows,
         const Relay::DeploymentDecoder &decoder,
         EngineControl &engine,
-        Relay::CacheNewsSource &caches,
+        Relay::CacheChangeSource &caches,
         NewsPublisher &news);
     ~WeightsKeeper() override;
 
@@ -65,13 +65,13 @@
     void sourceLost(const std::string &table, const Core::Error &error) override;
     void sourceRegained(const std::string &table) override;
     void tableVerified(const std::string &table, Store::StoreTime verifiedAt, std::uint64_t coveredRevision) override;
-    void answerRefused(const std::string &table, const Store::RefusedAnswer &answer) override;
+    void staleAnswerReceived(const std::string &table, const Store::StaleAnswer &answer) override;
     void takeDeclarations(const std::string &table, const Store::RowPage &page, const Decisions::WeightsAnnouncement &naming);
     Decisions::WeightsAnnouncement dated(const Decisions::WeightsAnnouncement &naming, const Store::TableRow &row) const;
     void takeWatch(const verbena::wire::EngineWatch &watch);
     void followStoreIfUnwatched();
     void takeTurn(const verbena::wire::WeightsTurn &told);
-    bool takeNamed(const Relay::NamedWeights &named);
+    bool takeNamed(const Relay::AnnouncedWeights &named);
     bool isOutOfDate(const std::string &model, std::uint64_t version) const;
     bool isOwed(const std::string &model, const Target &target) const;
     void plan(const std::string &model, const Decisions::WeightsAnnouncement &naming);
@@ -97,7 +97,7 @@
     const Relay::DeploymentDecoder &m_decoder;
     EngineControl &m_engine;
     NewsPublisher &m_news;
-    Relay::CacheWatch m_cache;
+    Relay::CacheMonitor m_cache;
     std::uint64_t m_publishedRevision = 0; ///< Of the cache.
     Core::TimePoint m_publishedWhole{}; ///< When routers were last told all that is cached.
     EventLoop::Timer m_timer;
