--- a/src/libs/relay/feedreporter.h
+++ b/src/libs/relay/feedreporter.h
@@ -14,8 +14,11 @@
     /// \brief Records in \a mirror, from which other processes are answered.
     explicit FeedReporter(Store::RowMirror &mirror);
 
+    /// \brief Logs that the store does not answer requests for \a table because of \a error.
     void handleLost(const std::string &table, const Core::Error &error);
+    /// \brief Logs that the store answers requests for \a table again.
     void handleRegained(const std::string &table);
+    /// \brief Records in the mirror up to where \a table was verified.
     void handleVerified(const std::string &table, Store::StoreTime verifiedAt, std::uint64_t coveredRevision);
 
     /// \brief Logs the first of several successive stale answers.
--- a/tests/auto/relay/tst_tablefollower.cpp
+++ b/tests/auto/relay/tst_tablefollower.cpp
@@ -210,7 +210,7 @@
     EXPECT_EQ(m_mirror.rows().size(), 2U);
 }
 
-// A silent store drops requests, even at the moment when it recovers. A long poll sent then would hang until its deadline while changes are missed, so only
+// A silent store drops requests, even at the time when it recovers. A long poll sent then would hang until its deadline while changes are missed, so only
 // the store's own answer shows that it is back.
 TEST_F(TableFollowerTest, sendsRequestsWithoutWaitUntilTheStoreItselfAnswers)
 {
