--- a/src/apps/router/routercontrol.cpp
+++ b/src/apps/router/routercontrol.cpp
@@ -12,9 +12,9 @@
 
 // A router without traffic keeps this many connections, so that it hears of settings.
 constexpr std::size_t minimumPeers = 3;
-constexpr std::chrono::seconds peerInterval{2};
+constexpr std::chrono::seconds peerCheckInterval{2};
 
-std::string peerOf(Decisions::BackendServerId id)
+std::string peerName(Decisions::BackendServerId id)
 {
     return std::to_string(static_cast<std::uint64_t>(id));
 }
@@ -45,11 +45,11 @@
 
 RouterControl::RouterControl(EventLoop::Loop &loop, const RouterSettings &settings, std::unique_ptr<Store::HttpPlatform> platform, std::uint64_t seed)
     : m_loop(loop)
-    , m_firstPeers(settings.settingsPeers)
+    , m_bootstrapPeers(settings.settingsPeers)
     , m_platform(std::move(platform))
     , m_table(*m_platform, loop, {}, seed)
     , m_random(seed)
-    , m_peerTimer(loop, [this] { openPeers(); })
+    , m_peerTimer(loop, [this] { connectToPeers(); })
 {
 }
 
@@ -65,8 +65,8 @@
     Control::HostListTaskOptions options;
     options.seed = m_random.next();
     m_hosts = std::make_unique<Control::HostListTask>(*m_platform, m_loop, *this, options);
-    m_hosts->setChangedCallback([this] { applyHosts(); });
-    openPeers();
+    m_hosts->setChangedCallback([this] { applyHostList(); });
+    connectToPeers();
 }
 
 const std::vector<std::string> &RouterControl::peers() const
@@ -86,7 +86,7 @@
 
 void RouterControl::peerReady(Decisions::BackendServerId id)
 {
-    const std::string peer = peerOf(id);
+    const std::string peer = peerName(id);
     if (std::find(m_peers.begin(), m_peers.end(), peer) == m_peers.end()) {
         m_peers.push_back(peer);
     }
@@ -95,13 +95,13 @@
 
 void RouterControl::peerLost(Decisions::BackendServerId id)
 {
-    std::erase(m_peers, peerOf(id));
+    std::erase(m_peers, peerName(id));
 }
 
 void RouterControl::receiveFromPeer(Decisions::BackendServerId id, const verbena::wire::Envelope &message)
 {
     if (SettingsTree::SettingsTask::isSettingsMessage(message)) {
-        m_settings->receiveFromPeer(peerOf(id), message);
+        m_settings->receiveFromPeer(peerName(id), message);
     } else if (m_hosts && Control::HostListTask::isHostMessage(message)) {
         m_hosts->receiveFromPeer(message);
     }
@@ -112,7 +112,7 @@
     return m_settings->status().toJson();
 }
 
-void RouterControl::applyHosts()
+void RouterControl::applyHostList()
 {
     std::set<std::string> leaving;
     for (const Store::HostEntry &host : m_hosts->hosts()) {
@@ -123,14 +123,14 @@
     m_task->setLeavingHosts(std::move(leaving));
 }
 
-void RouterControl::openPeers()
+void RouterControl::connectToPeers()
 {
     m_hosts->setProcessCount(m_settings->current()->backendServers.size());
-    m_peerTimer.startAt(m_loop.now() + peerInterval);
+    m_peerTimer.startAt(m_loop.now() + peerCheckInterval);
     if (m_peers.size() >= minimumPeers) {
         return;
     }
-    for (const SettingsPeer &peer : m_firstPeers) {
+    for (const SettingsPeer &peer : m_bootstrapPeers) {
         m_task->openPeer(backendServer(peer.name, peer.endpoint), peer.agentPublicKey);
     }
     const auto settings = m_settings->current();
--- a/src/apps/router/routercontrol.h
+++ b/src/apps/router/routercontrol.h
@@ -34,11 +34,11 @@
 
 private:
     RouterControl(EventLoop::Loop &loop, const RouterSettings &settings, std::unique_ptr<Store::HttpPlatform> platform, std::uint64_t seed);
-    void openPeers();
-    void applyHosts();
+    void connectToPeers();
+    void applyHostList();
 
     EventLoop::Loop &m_loop;
-    std::vector<SettingsPeer> m_firstPeers;
+    std::vector<SettingsPeer> m_bootstrapPeers;
     std::unique_ptr<Store::HttpPlatform> m_platform;
     Control::BudgetedTable m_table;
     Decisions::RandomSource m_random;
--- a/src/libs/control/tableclaimservice.cpp
+++ b/src/libs/control/tableclaimservice.cpp
@@ -48,7 +48,7 @@
     }
 }
 
-void TableClaimService::noteEnd(const Router::Claim &claim, RunState run)
+void TableClaimService::recordEnd(const Router::Claim &claim, RunState run)
 {
     const auto granted = m_granted.extract(claim.request);
     if (granted.empty()) {
--- a/src/libs/control/tableclaimservice.h
+++ b/src/libs/control/tableclaimservice.h
@@ -17,7 +17,7 @@
     TableClaimService(Store::TableService &table, EventLoop::Loop &loop, const Decisions::ClaimOptions &options, const std::string &owner, std::uint64_t seed);
 
     void claim(const Router::Claim &claim, Core::TimePoint deadline, Callback done) override;
-    void noteEnd(const Router::Claim &claim, Decisions::RunState run) override;
+    void recordEnd(const Router::Claim &claim, Decisions::RunState run) override;
 
 private:
     void receiveResult(const std::string &request, Decisions::ClaimId id, const Decisions::ClaimResult &result, const Callback &done);
--- a/src/libs/router/agentlink.cpp
+++ b/src/libs/router/agentlink.cpp
@@ -70,7 +70,7 @@
     return m_socket->send({}, message);
 }
 
-Core::Result<void> AgentLink::sendAside(const verbena::wire::Envelope &message)
+Core::Result<void> AgentLink::sendBackground(const verbena::wire::Envelope &message)
 {
     return m_socket->send({}, message);
 }
@@ -79,7 +79,7 @@
 {
     const Core::TimePoint now = m_loop.now();
     if (m_state == State::Ready && now >= m_silenceDeadline) {
-        lose("silent");
+        markLost("silent");
     } else if (m_state == State::Connecting && now >= m_connectDeadline) {
         m_state = State::Down;
     }
@@ -114,16 +114,16 @@
     if (welcome.name() != m_name) {
         if (m_state != State::Down) {
             Observe::log(agentMisnamed, {{"backend_server", m_name}, {"answered_by", welcome.name()}, {"peer", m_endpoint}});
-            lose("misnamed");
+            markLost("misnamed");
         }
         return;
     }
     if (m_state == State::Ready && welcome.incarnation() != m_incarnation) {
-        lose("new incarnation");
+        markLost("new incarnation");
     }
     m_incarnation = welcome.incarnation();
     if (m_state != State::Ready) {
-        becomeReady();
+        markReady();
     }
 }
 
@@ -137,11 +137,11 @@
     if (change == Wire::ConnectionChange::Ready) {
         sendHello();
     } else if (m_state == State::Ready) {
-        lose("disconnected");
+        markLost("disconnected");
     }
 }
 
-void AgentLink::becomeReady()
+void AgentLink::markReady()
 {
     m_state = State::Ready;
     Observe::log(agentReached, {{"backend_server", m_name}, {"peer", m_endpoint}});
@@ -149,7 +149,7 @@
     m_listener.agentReady(m_id);
 }
 
-void AgentLink::lose(const char *reason)
+void AgentLink::markLost(const char *reason)
 {
     m_state = State::Down;
     Observe::log(agentLost, {{"backend_server", m_name}, {"peer", m_endpoint}, {"reason", reason}});
--- a/src/libs/router/agentlink.h
+++ b/src/libs/router/agentlink.h
@@ -57,7 +57,7 @@
     Core::Result<void> send(const verbena::wire::Envelope &message);
 
     /// \brief The same for what has nothing to do with a request: it does not keep the connection open.
-    Core::Result<void> sendAside(const verbena::wire::Envelope &message);
+    Core::Result<void> sendBackground(const verbena::wire::Envelope &message);
 
     void receiveMessage(const std::string &peer, const verbena::wire::Envelope &message) override;
     void receiveGarbage(const std::string &peer) override;
@@ -68,8 +68,8 @@
     void onTimer();
     void sendHello();
     void receiveWelcome(const verbena::wire::Welcome &welcome);
-    void becomeReady();
-    void lose(const char *reason);
+    void markReady();
+    void markLost(const char *reason);
 
     EventLoop::Loop &m_loop;
     Decisions::BackendServerId m_id;
--- a/src/libs/router/agentlinks.cpp
+++ b/src/libs/router/agentlinks.cpp
@@ -6,7 +6,7 @@
 
 namespace {
 
-constexpr int sweepsPerIdleTimeout = 4;
+constexpr int checksPerIdleTimeout = 4;
 
 } // namespace
 
@@ -15,10 +15,10 @@
     , m_context(context)
     , m_settings(settings)
     , m_listener(listener)
-    , m_sweepTimer(loop, [this] { sweep(); })
+    , m_idleTimer(loop, [this] { closeIdle(); })
     , m_removeClosed(loop, [this] { m_closed.clear(); })
 {
-    m_sweepTimer.startAt(loop.now() + settings.idleTimeout / sweepsPerIdleTimeout);
+    m_idleTimer.startAt(loop.now() + settings.idleTimeout / checksPerIdleTimeout);
 }
 
 AgentLinks::~AgentLinks() = default;
@@ -43,7 +43,7 @@
         const auto endpoint = endpoints.find(current->first);
         // A server that is gone from settings keeps the connection for the requests that run there.
         const bool isMoved = endpoint != endpoints.end() && endpoint->second != current->second.link->endpoint();
-        if (isMoved || (endpoint == endpoints.end() && current->second.users == 0)) {
+        if (isMoved || (endpoint == endpoints.end() && current->second.attempts == 0)) {
             close(current);
         }
     }
@@ -59,7 +59,7 @@
     if (AgentLink *link = find(server.id)) {
         return link;
     }
-    if (m_links.size() >= m_settings.maximumOpen && !closeLeastUsed()) {
+    if (m_links.size() >= m_settings.maximumOpen && !closeLeastRecentlyUsed()) {
         return Core::Error{Core::ErrorCode::ResourceExhausted, "router.link", server.endpoint, "All connections to agents are in use."};
     }
     Wire::SocketSecurity security = m_security;
@@ -77,7 +77,7 @@
     return found == m_links.end() ? nullptr : found->second.link.get();
 }
 
-std::vector<Decisions::BackendServerId> AgentLinks::down() const
+std::vector<Decisions::BackendServerId> AgentLinks::unreachable() const
 {
     std::vector<Decisions::BackendServerId> result;
     for (const auto &[id, entry] : m_links) {
@@ -88,19 +88,19 @@
     return result;
 }
 
-void AgentLinks::addUser(Decisions::BackendServerId id)
+void AgentLinks::addAttempt(Decisions::BackendServerId id)
 {
     const auto found = m_links.find(id);
     if (found != m_links.end()) {
-        ++found->second.users;
+        ++found->second.attempts;
     }
 }
 
-void AgentLinks::removeUser(Decisions::BackendServerId id)
+void AgentLinks::removeAttempt(Decisions::BackendServerId id)
 {
     const auto found = m_links.find(id);
-    if (found != m_links.end() && found->second.users > 0) {
-        --found->second.users;
+    if (found != m_links.end() && found->second.attempts > 0) {
+        --found->second.attempts;
     }
 }
 
@@ -109,24 +109,24 @@
     return m_links.size();
 }
 
-void AgentLinks::sweep()
+void AgentLinks::closeIdle()
 {
     const Core::TimePoint idleSince = m_loop.now() - m_settings.idleTimeout;
     for (auto entry = m_links.begin(); entry != m_links.end();) {
         const auto current = entry++;
-        if (current->second.users == 0 && current->second.link->lastUsed() <= idleSince) {
+        if (current->second.attempts == 0 && current->second.link->lastUsed() <= idleSince) {
             close(current);
         }
     }
-    m_sweepTimer.startAt(m_loop.now() + m_settings.idleTimeout / sweepsPerIdleTimeout);
+    m_idleTimer.startAt(m_loop.now() + m_settings.idleTimeout / checksPerIdleTimeout);
 }
 
-bool AgentLinks::closeLeastUsed()
+bool AgentLinks::closeLeastRecentlyUsed()
 {
     auto oldest = m_links.end();
     for (auto entry = m_links.begin(); entry != m_links.end(); ++entry) {
         const bool isOlder = oldest == m_links.end() || entry->second.link->lastUsed() < oldest->second.link->lastUsed();
-        if (entry->second.users == 0 && isOlder) {
+        if (entry->second.attempts == 0 && isOlder) {
             oldest = entry;
         }
     }
@@ -141,11 +141,11 @@
 void AgentLinks::close(std::unordered_map<Decisions::BackendServerId, Entry>::iterator entry)
 {
     const Decisions::BackendServerId id = entry->first;
-    const bool hadUsers = entry->second.users > 0;
+    const bool hadAttempts = entry->second.attempts > 0;
     m_closed.push_back(std::move(entry->second.link));
     m_links.erase(entry);
     m_removeClosed.schedule();
-    if (hadUsers) {
+    if (hadAttempts) {
         m_listener.agentLost(id);
     }
 }
--- a/src/libs/router/agentlinks.h
+++ b/src/libs/router/agentlinks.h
@@ -35,11 +35,11 @@
     AgentLink *find(Decisions::BackendServerId id) const;
 
     /// \brief Backend servers whose agents cannot be reached at present.
-    std::vector<Decisions::BackendServerId> down() const;
+    std::vector<Decisions::BackendServerId> unreachable() const;
 
     /// \brief Counts a running attempt at \a id; a connection with one is not closed.
-    void addUser(Decisions::BackendServerId id);
-    void removeUser(Decisions::BackendServerId id);
+    void addAttempt(Decisions::BackendServerId id);
+    void removeAttempt(Decisions::BackendServerId id);
 
     std::size_t count() const;
 
@@ -47,11 +47,11 @@
     struct Entry
     {
         std::unique_ptr<AgentLink> link;
-        std::size_t users = 0;
+        std::size_t attempts = 0;
     };
 
-    void sweep();
-    bool closeLeastUsed();
+    void closeIdle();
+    bool closeLeastRecentlyUsed();
     void close(std::unordered_map<Decisions::BackendServerId, Entry>::iterator entry);
 
     EventLoop::Loop &m_loop;
@@ -62,7 +62,7 @@
     std::unordered_map<Decisions::BackendServerId, std::string> m_agentKeys;
     std::unordered_map<Decisions::BackendServerId, Entry> m_links;
     std::vector<std::unique_ptr<AgentLink>> m_closed;
-    EventLoop::Timer m_sweepTimer;
+    EventLoop::Timer m_idleTimer;
     EventLoop::DeferredCall m_removeClosed;
 };
 
--- a/src/libs/router/answerformat.cpp
+++ b/src/libs/router/answerformat.cpp
@@ -34,7 +34,7 @@
     return {{"error", {{"message", failure.message}, {"type", failure.type}, {"code", failure.code}, {"verbena_run", runStateName(failure.run)}}}};
 }
 
-bool isPlain(char letter)
+bool isPlainAscii(char letter)
 {
     return letter >= ' ' && letter < '\x7f' && letter != '"' && letter != '\\';
 }
@@ -42,7 +42,7 @@
 // Nearly all text is plain, and the JSON library is slow for pieces as short as a token.
 void appendQuoted(std::string_view text, std::string &output)
 {
-    if (std::all_of(text.begin(), text.end(), isPlain)) {
+    if (std::all_of(text.begin(), text.end(), isPlainAscii)) {
         output += '"';
         output += text;
         output += '"';
--- a/src/libs/router/callerrequest.cpp
+++ b/src/libs/router/callerrequest.cpp
@@ -15,7 +15,7 @@
 constexpr int maximumNesting = 64;
 
 // What the router reads itself; everything else that a caller sets is for the engine.
-constexpr std::array<std::string_view, 8> ownFields{"model", "prompt", "messages", "max_tokens", "max_completion_tokens", "stream", "stream_options", "n"};
+constexpr std::array<std::string_view, 8> routerFields{"model", "prompt", "messages", "max_tokens", "max_completion_tokens", "stream", "stream_options", "n"};
 
 // Fields by this prefix are words between agents and engines.
 constexpr std::string_view internalPrefix = "verbena_";
@@ -26,17 +26,17 @@
 }
 
 // The JSON library writes nested values by recursion, so that a deep nest of brackets would use up the stack.
-bool isNestedTooDeep(const std::string &body)
+bool isNestedTooDeeply(const std::string &body)
 {
     int depth = 0;
-    bool isInText = false;
+    bool isInString = false;
     for (std::size_t i = 0; i < body.size(); ++i) {
         const char letter = body[i];
-        if (isInText) {
+        if (isInString) {
             i += letter == '\\' ? 1 : 0;
-            isInText = letter != '"';
+            isInString = letter != '"';
         } else if (letter == '"') {
-            isInText = true;
+            isInString = true;
         } else if (letter == '[' || letter == '{') {
             if (++depth > maximumNesting) {
                 return true;
@@ -157,8 +157,8 @@
 {
     json body = json::object();
     for (const auto &[name, value] : root.items()) {
-        const bool isOwn = std::find(ownFields.begin(), ownFields.end(), name) != ownFields.end();
-        if (!isOwn && !name.starts_with(internalPrefix)) {
+        const bool isRouterField = std::find(routerFields.begin(), routerFields.end(), name) != routerFields.end();
+        if (!isRouterField && !name.starts_with(internalPrefix)) {
             body[name] = value;
         }
     }
@@ -177,7 +177,7 @@
 
 Core::Result<CallerRequest> CallerRequest::fromJson(CallerInterface interface, const std::string &body)
 {
-    if (isNestedTooDeep(body)) {
+    if (isNestedTooDeeply(body)) {
         return invalid("The request body is nested too deep.");
     }
     const json root = json::parse(body, nullptr, false);
--- a/src/libs/router/claimservice.cpp
+++ b/src/libs/router/claimservice.cpp
@@ -7,7 +7,7 @@
     done({});
 }
 
-void RefusingClaimService::noteEnd(const Claim &, Decisions::RunState)
+void RefusingClaimService::recordEnd(const Claim &, Decisions::RunState)
 {
 }
 
--- a/src/libs/router/claimservice.h
+++ b/src/libs/router/claimservice.h
@@ -43,7 +43,7 @@
     virtual void claim(const Claim &claim, Core::TimePoint deadline, Callback done) = 0;
 
     /// \brief Notes what became of the request of a granted claim. One that was not run gives its key back.
-    virtual void noteEnd(const Claim &claim, Decisions::RunState run) = 0;
+    virtual void recordEnd(const Claim &claim, Decisions::RunState run) = 0;
 };
 
 /// \brief Grants nothing; for deployments without a table service.
@@ -51,7 +51,7 @@
 {
 public:
     void claim(const Claim &claim, Core::TimePoint deadline, Callback done) override;
-    void noteEnd(const Claim &claim, Decisions::RunState run) override;
+    void recordEnd(const Claim &claim, Decisions::RunState run) override;
 };
 
 } // namespace Verbena::Router
--- a/src/libs/router/completionwriter.cpp
+++ b/src/libs/router/completionwriter.cpp
@@ -23,7 +23,7 @@
 {
 }
 
-void StreamedCompletionWriter::begin()
+void StreamedCompletionWriter::beginStream()
 {
     if (!m_hasBegun) {
         m_hasBegun = true;
@@ -35,7 +35,7 @@
 
 void StreamedCompletionWriter::deliver(std::string_view text)
 {
-    begin();
+    beginStream();
     if (m_isKeepingText) {
         m_text += text;
     }
@@ -50,7 +50,7 @@
 
 void StreamedCompletionWriter::finish(const verbena::wire::Ended &ended)
 {
-    begin();
+    beginStream();
     m_exchange->write(m_format.streamEnd(ended.finish_reason(), usageOf(ended), m_isUsageWanted));
     m_exchange->endStream();
 }
--- a/src/libs/router/completionwriter.h
+++ b/src/libs/router/completionwriter.h
@@ -22,7 +22,7 @@
     const std::string &deliveredText() const override;
 
 private:
-    void begin();
+    void beginStream();
 
     std::shared_ptr<Http::HttpExchange> m_exchange;
     AnswerFormat m_format;
--- a/src/libs/router/overloadlevels.h
+++ b/src/libs/router/overloadlevels.h
@@ -13,7 +13,7 @@
 {
 public:
     /// \brief Notes that \a id refuses requests marked at or above \a level; 0 means none.
-    void note(Decisions::BackendServerId id, std::uint32_t level, Core::TimePoint now);
+    void update(Decisions::BackendServerId id, std::uint32_t level, Core::TimePoint now);
 
     /// \brief Whether \a id would refuse \a mark by what it told lately.
     bool isRefusing(Decisions::BackendServerId id, std::uint32_t mark, Core::TimePoint now) const;
@@ -22,7 +22,7 @@
     struct Level
     {
         std::uint32_t level = 0;
-        Core::TimePoint deadline;
+        Core::TimePoint validUntil;
     };
 
     std::unordered_map<Decisions::BackendServerId, Level> m_levels;
--- a/src/libs/router/requeststarter.cpp
+++ b/src/libs/router/requestfactory.cpp
@@ -1,4 +1,4 @@
-#include "requeststarter.h"
+#include "requestfactory.h"
 
 #include "completionwriter.h"
 #include "introspection.h"
@@ -37,7 +37,7 @@
         isNotFound ? invalidRequest(notFoundStatus, "not_found", error.message) : invalidRequest(badRequestStatus, "invalid_request", error.message));
 }
 
-bool isVisible(const std::string &text)
+bool isVisibleAscii(const std::string &text)
 {
     return std::all_of(text.begin(), text.end(), [](char letter) { return letter > ' ' && letter < '\x7f'; });
 }
@@ -68,19 +68,19 @@
 
 } // namespace
 
-RequestStarter::RequestStarter(const RequestContext &context, const RouterSettings &settings)
+RequestFactory::RequestFactory(const RequestContext &context, const RouterSettings &settings)
     : m_context(context)
     , m_settings(settings)
 {
 }
 
-void RequestStarter::setSettings(std::shared_ptr<const Settings::InForceSettings> settings)
+void RequestFactory::setSettings(std::shared_ptr<const Settings::InForceSettings> settings)
 {
     m_inForce = std::move(settings);
     m_callers.setSettings(m_inForce);
 }
 
-std::shared_ptr<RequestTask> RequestStarter::startCompletion(const std::shared_ptr<Http::HttpExchange> &exchange, CallerInterface interface)
+std::shared_ptr<RequestTask> RequestFactory::createCompletion(const std::shared_ptr<Http::HttpExchange> &exchange, CallerInterface interface)
 {
     const Settings::TeamSettings *team = authenticate(*exchange);
     if (team == nullptr) {
@@ -96,7 +96,7 @@
         respondError(*exchange, plan.error());
         return nullptr;
     }
-    if (!takeSlot(*exchange, *team, plan.value())) {
+    if (!acquireSlot(*exchange, *team, plan.value())) {
         return nullptr;
     }
     const std::string id = plan.value().id;
@@ -109,32 +109,32 @@
     return std::make_shared<RequestTask>(m_context, std::move(plan.value()), exchange, std::move(writer));
 }
 
-std::shared_ptr<RequestTask> RequestStarter::startServiceCall(const std::shared_ptr<Http::HttpExchange> &exchange)
+std::shared_ptr<RequestTask> RequestFactory::createServiceCall(const std::shared_ptr<Http::HttpExchange> &exchange)
 {
     const Settings::TeamSettings *team = authenticate(*exchange);
     if (team == nullptr) {
         return nullptr;
     }
     const Core::Result<ServicePath> path = readServicePath(exchange->path());
-    const Core::Result<RequestMarks> marks = readMarks(*exchange, *team);
-    if (!path || !marks) {
-        respondError(*exchange, path ? marks.error() : path.error());
+    const Core::Result<RequestOptions> options = readOptions(*exchange, *team);
+    if (!path || !options) {
+        respondError(*exchange, path ? options.error() : path.error());
         return nullptr;
     }
     Core::Result<RequestPlan> plan
-        = RequestPlan::forServiceCall(path.value().service, path.value().call, exchange->body(), marks.value(), *team, *m_inForce, m_settings);
+        = RequestPlan::forServiceCall(path.value().service, path.value().call, exchange->body(), options.value(), *team, *m_inForce, m_settings);
     if (!plan) {
         respondError(*exchange, plan.error());
         return nullptr;
     }
-    if (!takeSlot(*exchange, *team, plan.value())) {
+    if (!acquireSlot(*exchange, *team, plan.value())) {
         return nullptr;
     }
     auto writer = std::make_unique<ServiceWriter>(exchange, plan.value().id);
     return std::make_shared<RequestTask>(m_context, std::move(plan.value()), exchange, std::move(writer));
 }
 
-void RequestStarter::listModels(Http::HttpExchange &exchange) const
+void RequestFactory::listModels(Http::HttpExchange &exchange) const
 {
     const Settings::TeamSettings *team = authenticate(exchange);
     if (team != nullptr) {
@@ -142,7 +142,7 @@
     }
 }
 
-void RequestStarter::explain(Http::HttpExchange &exchange) const
+void RequestFactory::explain(Http::HttpExchange &exchange) const
 {
     const Settings::TeamSettings *team = authenticate(exchange);
     if (team == nullptr) {
@@ -162,7 +162,7 @@
     exchange.respond(okStatus, {{"Content-Type", "application/json"}, {"Verbena-Run", "not-run"}}, explanationJson(plan.value(), decision, m_context.chooser));
 }
 
-const Settings::TeamSettings *RequestStarter::authenticate(Http::HttpExchange &exchange) const
+const Settings::TeamSettings *RequestFactory::authenticate(Http::HttpExchange &exchange) const
 {
     const Settings::TeamSettings *team = m_callers.find(exchange.header("Authorization").value_or(""));
     if (team == nullptr) {
@@ -171,31 +171,31 @@
     return team;
 }
 
-Core::Result<RequestMarks> RequestStarter::readMarks(const Http::HttpExchange &exchange, const Settings::TeamSettings &team) const
+Core::Result<RequestOptions> RequestFactory::readOptions(const Http::HttpExchange &exchange, const Settings::TeamSettings &team) const
 {
-    RequestMarks marks;
+    RequestOptions options;
     const std::optional<std::string> requestClass = exchange.header("Verbena-Class");
-    marks.requestClass = requestClass.value_or(defaultClass);
-    const auto mark = team.classMarks.find(marks.requestClass);
+    options.requestClass = requestClass.value_or(defaultClass);
+    const auto mark = team.classMarks.find(options.requestClass);
     if (mark == team.classMarks.end() && requestClass.has_value()) {
         return invalid("The header field Verbena-Class names no class of this team.");
     }
-    marks.mark = mark == team.classMarks.end() ? m_settings.requests.defaultMark : mark->second;
+    options.mark = mark == team.classMarks.end() ? m_settings.requests.defaultMark : mark->second;
     const std::string idempotent = exchange.header("Verbena-Idempotent").value_or("true");
     if (idempotent != "true" && idempotent != "false") {
         return invalid("The header field Verbena-Idempotent must be true or false.");
     }
-    marks.isIdempotent = idempotent == "true";
-    marks.idempotencyKey = exchange.header("Idempotency-Key").value_or("");
-    if (marks.idempotencyKey.size() > maximumKeyLength || !isVisible(marks.idempotencyKey)) {
+    options.isIdempotent = idempotent == "true";
+    options.idempotencyKey = exchange.header("Idempotency-Key").value_or("");
+    if (options.idempotencyKey.size() > maximumKeyLength || !isVisibleAscii(options.idempotencyKey)) {
         return invalid("The header field Idempotency-Key must have at most 256 visible ASCII characters.");
     }
     BOOST_OUTCOME_TRY(deadline, readDeadline(exchange));
-    marks.deadline = deadline;
-    return marks;
+    options.deadline = deadline;
+    return options;
 }
 
-Core::Result<Core::TimePoint> RequestStarter::readDeadline(const Http::HttpExchange &exchange) const
+Core::Result<Core::TimePoint> RequestFactory::readDeadline(const Http::HttpExchange &exchange) const
 {
     const Core::TimePoint now = m_context.loop.now();
     const std::optional<std::string> text = exchange.header("Verbena-Deadline-Ms");
@@ -210,16 +210,16 @@
     return now + std::min<std::chrono::microseconds>(std::chrono::milliseconds(milliseconds), m_settings.requests.maximumDeadline);
 }
 
-Core::Result<RequestPlan> RequestStarter::planCompletion(
+Core::Result<RequestPlan> RequestFactory::planCompletion(
     const Http::HttpExchange &exchange, const CallerRequest &request, const Settings::TeamSettings &team) const
 {
-    BOOST_OUTCOME_TRY(marks, readMarks(exchange, team));
-    return RequestPlan::forCompletion(request, marks, team, *m_inForce, m_settings);
+    BOOST_OUTCOME_TRY(options, readOptions(exchange, team));
+    return RequestPlan::forCompletion(request, options, team, *m_inForce, m_settings);
 }
 
-bool RequestStarter::takeSlot(Http::HttpExchange &exchange, const Settings::TeamSettings &team, RequestPlan &plan)
+bool RequestFactory::acquireSlot(Http::HttpExchange &exchange, const Settings::TeamSettings &team, RequestPlan &plan)
 {
-    plan.slot = m_limits.take(team.organisation, team.name, team.maximumConcurrent);
+    plan.slot = m_limits.acquire(team.organisation, team.name, team.maximumConcurrent);
     if (plan.slot == nullptr) {
         m_context.metrics.count("requests_limited_total");
         respondFailure(exchange,
--- a/src/libs/router/requeststarter.h
+++ b/src/libs/router/requestfactory.h
@@ -15,19 +15,19 @@
 namespace Verbena::Router {
 
 /// \brief Turns what callers send into requests: checks key, header fields, body and limits, or answers what is wrong.
-class RequestStarter
+class RequestFactory
 {
 public:
-    RequestStarter(const RequestContext &context, const RouterSettings &settings);
+    RequestFactory(const RequestContext &context, const RouterSettings &settings);
 
     /// \brief Takes the settings in force.
     void setSettings(std::shared_ptr<const Settings::InForceSettings> settings);
 
     /// \brief The task of a completion; null if the exchange was answered.
-    std::shared_ptr<RequestTask> startCompletion(const std::shared_ptr<Http::HttpExchange> &exchange, CallerInterface interface);
+    std::shared_ptr<RequestTask> createCompletion(const std::shared_ptr<Http::HttpExchange> &exchange, CallerInterface interface);
 
     /// \brief The task of a call of a plain service; null if the exchange was answered.
-    std::shared_ptr<RequestTask> startServiceCall(const std::shared_ptr<Http::HttpExchange> &exchange);
+    std::shared_ptr<RequestTask> createServiceCall(const std::shared_ptr<Http::HttpExchange> &exchange);
 
     /// \brief Answers with the models that the caller may call.
     void listModels(Http::HttpExchange &exchange) const;
@@ -37,10 +37,10 @@
 
 private:
     const Settings::TeamSettings *authenticate(Http::HttpExchange &exchange) const;
-    Core::Result<RequestMarks> readMarks(const Http::HttpExchange &exchange, const Settings::TeamSettings &team) const;
+    Core::Result<RequestOptions> readOptions(const Http::HttpExchange &exchange, const Settings::TeamSettings &team) const;
     Core::Result<Core::TimePoint> readDeadline(const Http::HttpExchange &exchange) const;
     Core::Result<RequestPlan> planCompletion(const Http::HttpExchange &exchange, const CallerRequest &request, const Settings::TeamSettings &team) const;
-    bool takeSlot(Http::HttpExchange &exchange, const Settings::TeamSettings &team, RequestPlan &plan);
+    bool acquireSlot(Http::HttpExchange &exchange, const Settings::TeamSettings &team, RequestPlan &plan);
 
     RequestContext m_context;
     const RouterSettings &m_settings;
--- a/src/libs/router/requestmeter.cpp
+++ b/src/libs/router/requestmeter.cpp
@@ -14,17 +14,17 @@
 
 } // namespace
 
-RequestMeter::RequestMeter(Observe::Metrics &metrics, Observe::TenantLabel tenant, Core::TimePoint begin)
+RequestMeter::RequestMeter(Observe::Metrics &metrics, Observe::TenantLabel tenant, Core::TimePoint startTime)
     : m_metrics(metrics)
     , m_tenant(std::move(tenant))
-    , m_last(begin)
+    , m_lastTokensAt(startTime)
 {
 }
 
-void RequestMeter::noteTokens(std::uint32_t count, Core::TimePoint now)
+void RequestMeter::recordTokens(std::uint32_t count, Core::TimePoint now)
 {
-    const auto since = std::chrono::duration_cast<std::chrono::microseconds>(now - m_last);
-    m_last = now;
+    const auto since = std::chrono::duration_cast<std::chrono::microseconds>(now - m_lastTokensAt);
+    m_lastTokensAt = now;
     if (!m_hasTokens) {
         m_hasTokens = true;
         m_metrics.recordSpan(timeToFirstToken, m_tenant, since);
@@ -33,7 +33,7 @@
     }
 }
 
-void RequestMeter::noteEnd(const verbena::wire::Ended &ended)
+void RequestMeter::recordEnd(const verbena::wire::Ended &ended)
 {
     m_metrics.recordSpan(queueWait, m_tenant, std::chrono::microseconds(ended.queue_wait_us()));
     const std::uint32_t cached = std::min(ended.cached_tokens(), ended.prompt_tokens());
--- a/src/libs/router/requestmeter.h
+++ b/src/libs/router/requestmeter.h
@@ -13,18 +13,18 @@
 class RequestMeter
 {
 public:
-    RequestMeter(Observe::Metrics &metrics, Observe::TenantLabel tenant, Core::TimePoint begin);
+    RequestMeter(Observe::Metrics &metrics, Observe::TenantLabel tenant, Core::TimePoint startTime);
 
     /// \brief Tokens have come from the agent.
-    void noteTokens(std::uint32_t count, Core::TimePoint now);
+    void recordTokens(std::uint32_t count, Core::TimePoint now);
 
     /// \brief A completion is whole.
-    void noteEnd(const verbena::wire::Ended &ended);
+    void recordEnd(const verbena::wire::Ended &ended);
 
 private:
     Observe::Metrics &m_metrics;
     Observe::TenantLabel m_tenant;
-    Core::TimePoint m_last; ///< The begin, or when tokens last came.
+    Core::TimePoint m_lastTokensAt; ///< The startTime, or when tokens last came.
     bool m_hasTokens = false;
 };
 
--- a/src/libs/router/requestplan.cpp
+++ b/src/libs/router/requestplan.cpp
@@ -22,25 +22,25 @@
     return std::find(names.begin(), names.end(), name) != names.end();
 }
 
-RequestPlan commonPlan(const RequestMarks &marks, const Settings::TeamSettings &team, const RouterSettings &settings)
+RequestPlan commonPlan(const RequestOptions &options, const Settings::TeamSettings &team, const RouterSettings &settings)
 {
     RequestPlan plan;
     plan.id = newRequestId();
-    plan.deadline = marks.deadline;
-    plan.mark = marks.mark;
-    plan.tenant = {team.organisation, marks.requestClass};
-    plan.policy.isIdempotent = marks.isIdempotent;
+    plan.deadline = options.deadline;
+    plan.mark = options.mark;
+    plan.tenant = {team.organisation, options.requestClass};
+    plan.policy.isIdempotent = options.isIdempotent;
     plan.policy.maximumAttempts = settings.requests.maximumAttempts;
-    if (!marks.isIdempotent && !marks.idempotencyKey.empty()) {
-        plan.claim = Claim{team.organisation, team.name, marks.idempotencyKey, plan.id};
+    if (!options.isIdempotent && !options.idempotencyKey.empty()) {
+        plan.claim = Claim{team.organisation, team.name, options.idempotencyKey, plan.id};
     }
     verbena::wire::Dispatch &dispatch = *plan.envelope.mutable_dispatch();
     dispatch.set_request(plan.id);
     dispatch.set_organisation(team.organisation);
     dispatch.set_team(team.name);
-    dispatch.set_request_class(marks.requestClass);
-    dispatch.set_mark(marks.mark);
-    dispatch.set_idempotent(marks.isIdempotent);
+    dispatch.set_request_class(options.requestClass);
+    dispatch.set_mark(options.mark);
+    dispatch.set_idempotent(options.isIdempotent);
     dispatch.set_frame_credit(settings.streams.frameCredit);
     return plan;
 }
@@ -59,7 +59,7 @@
 } // namespace
 
 Core::Result<RequestPlan> RequestPlan::forCompletion(const CallerRequest &request,
-    const RequestMarks &marks,
+    const RequestOptions &options,
     const Settings::TeamSettings &team,
     const Settings::InForceSettings &inForce,
     const RouterSettings &settings)
@@ -68,7 +68,7 @@
     if (!contains(team.models, request.model) || !inForce.models.contains(name.model)) {
         return Core::Error{Core::ErrorCode::NotFound, "router.model", request.model, "This model does not exist, or the team may not call it."};
     }
-    RequestPlan plan = commonPlan(marks, team, settings);
+    RequestPlan plan = commonPlan(options, team, settings);
     plan.policy.maximumTokens = request.maximumTokens;
     plan.query.version = versionInForce(name, inForce);
     const Decisions::PrefixChain chain = chainOf(request, {team.organisation, plan.query.version}, settings);
@@ -92,7 +92,7 @@
 Core::Result<RequestPlan> RequestPlan::forServiceCall(const std::string &service,
     const std::string &call,
     const std::string &body,
-    const RequestMarks &marks,
+    const RequestOptions &options,
     const Settings::TeamSettings &team,
     const Settings::InForceSettings &inForce,
     const RouterSettings &settings)
@@ -101,8 +101,8 @@
     if (declared == inForce.services.end() || !contains(team.services, service)) {
         return Core::Error{Core::ErrorCode::NotFound, "router.service", service, "This service does not exist, or the team may not call it."};
     }
-    RequestMarks effective = marks;
-    effective.isIdempotent = marks.isIdempotent && !contains(declared->second.nonIdempotentCalls, call);
+    RequestOptions effective = options;
+    effective.isIdempotent = options.isIdempotent && !contains(declared->second.nonIdempotentCalls, call);
     RequestPlan plan = commonPlan(effective, team, settings);
     plan.policy.isResumable = false;
     plan.query.service = service;
--- a/src/libs/router/requestplan.h
+++ b/src/libs/router/requestplan.h
@@ -21,7 +21,7 @@
 struct RouterSettings;
 
 /// \brief What the header fields of a request say, checked.
-struct RequestMarks
+struct RequestOptions
 {
     std::string requestClass; ///< "default" if the caller names none.
     std::uint32_t mark = 0; ///< Higher is refused earlier.
@@ -45,7 +45,7 @@
 
     /// \brief The plan for a completion. Errors: NotFound, if the team may not call the model.
     static Core::Result<RequestPlan> forCompletion(const CallerRequest &request,
-        const RequestMarks &marks,
+        const RequestOptions &options,
         const Settings::TeamSettings &team,
         const Settings::InForceSettings &inForce,
         const RouterSettings &settings);
@@ -54,7 +54,7 @@
     static Core::Result<RequestPlan> forServiceCall(const std::string &service,
         const std::string &call,
         const std::string &body,
-        const RequestMarks &marks,
+        const RequestOptions &options,
         const Settings::TeamSettings &team,
         const Settings::InForceSettings &inForce,
         const RouterSettings &settings);
--- a/src/libs/router/requesttask.cpp
+++ b/src/libs/router/requesttask.cpp
@@ -42,7 +42,7 @@
 
 RequestTask::~RequestTask()
 {
-    if (!m_isOver) {
+    if (!m_isFinished) {
         m_exchange->setClosedCallback(nullptr);
         m_exchange->setDrainedCallback(nullptr);
     }
@@ -66,10 +66,10 @@
     ClaimService &claims = m_context.claims;
     claims.claim(*m_plan.claim, m_plan.deadline, [self, &claims, claim = *m_plan.claim](const ClaimAnswer &answer) {
         const std::shared_ptr<RequestTask> task = self.lock();
-        if (task != nullptr && !task->m_isOver) {
+        if (task != nullptr && !task->m_isFinished) {
             task->receiveClaim(answer);
         } else if (answer.outcome == ClaimOutcome::Granted) {
-            claims.noteEnd(claim, Decisions::RunState::NotRun);
+            claims.recordEnd(claim, Decisions::RunState::NotRun);
         }
     });
 }
@@ -77,7 +77,7 @@
 void RequestTask::receiveClaim(const ClaimAnswer &answer)
 {
     if (answer.outcome == ClaimOutcome::Granted) {
-        m_isClaimed = true;
+        m_isClaimGranted = true;
         perform(m_tracker.start());
         return;
     }
@@ -113,9 +113,9 @@
     const Core::Result<AgentLink *> link = m_context.links.open(*m_context.chooser.server(*chosen));
     m_server = *chosen;
     m_hasServer = true;
-    m_context.links.addUser(m_server);
+    m_context.links.addAttempt(m_server);
     if (!link) {
-        failToSend();
+        handleSendFailure();
     } else if (link.value()->state() == AgentLink::State::Ready) {
         sendAttempt();
     } else {
@@ -129,17 +129,17 @@
 {
     const Core::TimePoint now = m_context.loop.now();
     m_plan.query.excluded = m_tracker.excluded();
-    const std::vector<BackendServerId> down = m_context.links.down();
-    m_plan.query.excluded.insert(m_plan.query.excluded.end(), down.begin(), down.end());
+    const std::vector<BackendServerId> unreachable = m_context.links.unreachable();
+    m_plan.query.excluded.insert(m_plan.query.excluded.end(), unreachable.begin(), unreachable.end());
     const Decisions::RouteDecision decision = m_context.chooser.choose(m_plan.query, now);
     if (decision.candidates.empty()) {
         perform(m_tracker.handleNoCandidate());
         return std::nullopt;
     }
     // What the caller has begun to read is not given up for this.
-    const bool isShedding = action.resumeTokens == 0;
+    const bool mayShed = action.resumeTokens == 0;
     for (const Decisions::RouteCandidate &candidate : decision.candidates) {
-        if (!isShedding || !m_context.overload.isRefusing(candidate.id, m_plan.mark, now)) {
+        if (!mayShed || !m_context.overload.isRefusing(candidate.id, m_plan.mark, now)) {
             return candidate.id;
         }
     }
@@ -164,18 +164,18 @@
         dispatch.set_expected_incarnation(link->incarnation());
     }
     if (link == nullptr || !link->send(m_plan.envelope)) {
-        failToSend();
+        handleSendFailure();
         return;
     }
     m_tracker.markSent(m_tracker.attempt(), m_server);
-    m_takenFrames = 0;
-    m_work = m_context.chooser.expectedPrefill(m_server, m_plan.query, now);
-    m_isWorkCounted = true;
-    m_context.chooser.recordDispatch(m_server, m_plan.query, m_work, now);
+    m_uncreditedFrames = 0;
+    m_expectedWork = m_context.chooser.expectedPrefill(m_server, m_plan.query, now);
+    m_isWorkRecorded = true;
+    m_context.chooser.recordDispatch(m_server, m_plan.query, m_expectedWork, now);
     m_context.metrics.count("attempts_total");
 }
 
-void RequestTask::failToSend()
+void RequestTask::handleSendFailure()
 {
     m_isWaitingForLink = false;
     m_connectTimer.stop();
@@ -197,24 +197,24 @@
 
 void RequestTask::receiveAdmitted(const verbena::wire::Admitted &admitted)
 {
-    if (admitted.attempt() != m_tracker.attempt() || m_isOver) {
+    if (admitted.attempt() != m_tracker.attempt() || m_isFinished) {
         return;
     }
     m_tracker.markAdmitted(admitted.attempt());
-    if (m_isWorkCounted) {
-        m_isWorkCounted = false;
-        m_context.chooser.recordReply(m_server, m_plan.query, admitted.warm_pieces(), m_work, m_context.loop.now());
+    if (m_isWorkRecorded) {
+        m_isWorkRecorded = false;
+        m_context.chooser.recordReply(m_server, m_plan.query, admitted.warm_pieces(), m_expectedWork, m_context.loop.now());
     }
 }
 
 void RequestTask::receiveRefused(const verbena::wire::Refused &refused)
 {
-    if (refused.attempt() != m_tracker.attempt() || m_isOver) {
+    if (refused.attempt() != m_tracker.attempt() || m_isFinished) {
         return;
     }
-    if (m_isWorkCounted) {
-        m_isWorkCounted = false;
-        m_context.chooser.recordRefusal(m_server, m_plan.query, routeRefusalOf(refused), m_work, m_context.loop.now());
+    if (m_isWorkRecorded) {
+        m_isWorkRecorded = false;
+        m_context.chooser.recordRefusal(m_server, m_plan.query, routeRefusalOf(refused), m_expectedWork, m_context.loop.now());
     }
     m_context.metrics.count("attempts_refused_total");
     perform(m_tracker.handleRefusal(refused.attempt(), attemptRefusalOf(refused.reason()), std::chrono::microseconds(refused.retry_after_us())));
@@ -222,16 +222,16 @@
 
 void RequestTask::receiveFrame(const verbena::wire::Frame &frame)
 {
-    if (!m_isOver) {
+    if (!m_isFinished) {
         perform(m_tracker.handleFrame(frame.attempt(), frame.sequence(), frame.text(), frame.tokens()));
     }
 }
 
 void RequestTask::deliver(const Decisions::DeliverText &delivery)
 {
-    m_meter.noteTokens(delivery.tokens, m_context.loop.now());
+    m_meter.recordTokens(delivery.tokens, m_context.loop.now());
     m_writer->deliver(delivery.text);
-    ++m_takenFrames;
+    ++m_uncreditedFrames;
     if (isAnswerTooLarge()) {
         const Decisions::RunState run = m_tracker.runState();
         perform(m_tracker.handleCallerGone());
@@ -252,7 +252,7 @@
 {
     const StreamSettings &streams = m_context.settings.streams;
     const bool isReading = !m_plan.policy.isResumable || m_writer->bufferedBytes() <= streams.maximumBufferedBytes;
-    if (m_isOver || !isReading || m_takenFrames < streams.frameCredit / 2) {
+    if (m_isFinished || !isReading || m_uncreditedFrames < streams.frameCredit / 2) {
         return;
     }
     AgentLink *link = m_context.links.find(m_server);
@@ -263,15 +263,15 @@
     verbena::wire::Credit &credit = *envelope.mutable_credit();
     credit.set_request(m_plan.id);
     credit.set_attempt(m_tracker.attempt());
-    credit.set_frames(m_takenFrames);
+    credit.set_frames(m_uncreditedFrames);
     if (link->send(envelope)) {
-        m_takenFrames = 0;
+        m_uncreditedFrames = 0;
     }
 }
 
 void RequestTask::receiveEnded(const verbena::wire::Ended &ended)
 {
-    if (m_isOver || ended.attempt() != m_tracker.attempt()) {
+    if (m_isFinished || ended.attempt() != m_tracker.attempt()) {
         return;
     }
     m_ended = ended;
@@ -295,7 +295,7 @@
     m_writer->finish(m_ended);
     m_context.metrics.count("requests_whole_total");
     if (m_plan.policy.isResumable) {
-        m_meter.noteEnd(m_ended);
+        m_meter.recordEnd(m_ended);
     }
     end();
 }
@@ -309,17 +309,17 @@
     end();
 }
 
-void RequestTask::noteAgentReady(BackendServerId server)
+void RequestTask::handleAgentReady(BackendServerId server)
 {
     if (m_isWaitingForLink && m_server == server) {
         sendAttempt();
     }
 }
 
-void RequestTask::noteAgentLost(BackendServerId server)
+void RequestTask::handleAgentLost(BackendServerId server)
 {
-    if (m_hasServer && m_server == server && !m_isOver) {
-        settleWork(false);
+    if (m_hasServer && m_server == server && !m_isFinished) {
+        discardExpectedWork(false);
         perform(m_tracker.handleAgentLost(m_tracker.attempt()));
     }
 }
@@ -327,57 +327,57 @@
 void RequestTask::onConnectTimeout()
 {
     if (m_isWaitingForLink) {
-        failToSend();
+        handleSendFailure();
     }
 }
 
 void RequestTask::onDeadline()
 {
-    if (!m_isOver) {
+    if (!m_isFinished) {
         perform(m_tracker.handleDeadline());
     }
 }
 
 void RequestTask::onCallerGone()
 {
-    if (!m_isOver) {
+    if (!m_isFinished) {
         m_context.metrics.count("callers_gone_total");
         perform(m_tracker.handleCallerGone());
         end();
     }
 }
 
-void RequestTask::settleWork(bool isAnswered)
+void RequestTask::discardExpectedWork(bool isAnswered)
 {
-    if (m_isWorkCounted && !isAnswered) {
-        m_context.chooser.recordNoAnswer(m_server, m_work);
+    if (m_isWorkRecorded && !isAnswered) {
+        m_context.chooser.recordNoAnswer(m_server, m_expectedWork);
     }
-    m_isWorkCounted = false;
+    m_isWorkRecorded = false;
 }
 
 void RequestTask::releaseServer()
 {
-    settleWork(false);
+    discardExpectedWork(false);
     m_isWaitingForLink = false;
     m_connectTimer.stop();
     if (m_hasServer) {
         m_hasServer = false;
-        m_context.links.removeUser(m_server);
+        m_context.links.removeAttempt(m_server);
     }
 }
 
 void RequestTask::end()
 {
-    if (m_isOver) {
+    if (m_isFinished) {
         return;
     }
-    m_isOver = true;
+    m_isFinished = true;
     releaseServer();
     m_deadlineTimer.stop();
     m_exchange->setClosedCallback(nullptr);
     m_exchange->setDrainedCallback(nullptr);
-    if (m_isClaimed) {
-        m_context.claims.noteEnd(*m_plan.claim, m_tracker.runState());
+    if (m_isClaimGranted) {
+        m_context.claims.recordEnd(*m_plan.claim, m_tracker.runState());
     }
     m_plan.slot.reset();
     m_context.listener.requestFinished(m_plan.id);
--- a/src/libs/router/requesttask.h
+++ b/src/libs/router/requesttask.h
@@ -33,10 +33,10 @@
     void receiveEnded(const verbena::wire::Ended &ended);
 
     /// \brief The connection to \a server stands.
-    void noteAgentReady(Decisions::BackendServerId server);
+    void handleAgentReady(Decisions::BackendServerId server);
 
     /// \brief Nothing more will come of what was sent to \a server.
-    void noteAgentLost(Decisions::BackendServerId server);
+    void handleAgentLost(Decisions::BackendServerId server);
 
 private:
     void receiveClaim(const ClaimAnswer &answer);
@@ -44,7 +44,7 @@
     void dispatch(const Decisions::DispatchAttempt &action);
     std::optional<Decisions::BackendServerId> chooseServer(const Decisions::DispatchAttempt &action);
     void sendAttempt();
-    void failToSend();
+    void handleSendFailure();
     void cancel(const Decisions::CancelAttempt &action);
     void finish(const Decisions::FinishRequest &action);
     void fail(const Decisions::FailRequest &failure);
@@ -56,7 +56,7 @@
     void grantCredit();
     bool isAnswerTooLarge() const;
     void releaseServer();
-    void settleWork(bool isAnswered);
+    void discardExpectedWork(bool isAnswered);
 
     RequestContext m_context;
     RequestPlan m_plan;
@@ -70,11 +70,11 @@
     std::uint32_t m_resumeTokens = 0;
     bool m_hasServer = false; ///< An attempt is bound to m_server, sent or not.
     bool m_isWaitingForLink = false;
-    bool m_isWorkCounted = false;
-    std::chrono::microseconds m_work{0};
-    std::uint32_t m_takenFrames = 0; ///< Since the last credit.
-    bool m_isClaimed = false;
-    bool m_isOver = false;
+    bool m_isWorkRecorded = false;
+    std::chrono::microseconds m_expectedWork{0};
+    std::uint32_t m_uncreditedFrames = 0; ///< Since the last credit.
+    bool m_isClaimGranted = false;
+    bool m_isFinished = false;
     verbena::wire::Ended m_ended;
 };
 
--- a/src/libs/router/routertask.cpp
+++ b/src/libs/router/routertask.cpp
@@ -24,7 +24,7 @@
 constexpr int notAllowedStatus = 405;
 constexpr int unavailableStatus = 503;
 constexpr std::chrono::milliseconds shutdownCheckInterval{20};
-constexpr std::chrono::seconds heatLifetime{2};
+constexpr std::chrono::seconds hotPrefixLifetime{2};
 constexpr std::string_view servicesPath = "/v1/services/";
 
 std::uint64_t newIncarnation()
@@ -63,9 +63,9 @@
 {
     std::unique_ptr<RouterTask> task(new RouterTask(loop, settings, services));
     BOOST_OUTCOME_TRY(task->readKeys());
-    task->followSettings();
+    task->applySettings();
     RouterTask *self = task.get();
-    services.settings->setChangedCallback([self] { self->followSettings(); });
+    services.settings->setChangedCallback([self] { self->applySettings(); });
     BOOST_OUTCOME_TRY(task->listen());
     return task;
 }
@@ -78,9 +78,9 @@
     , m_chooser(routingOptionsOf(settings, m_incarnation))
     , m_budget(settings.requests.retryFraction, settings.requests.retryCapacity, settings.requests.retryAtStart)
     , m_links(loop, m_context, settings.links, *this)
-    , m_starter(context(), m_settings)
+    , m_requestFactory(context(), m_settings)
     , m_removeFinished(loop, [this] { m_finished.clear(); })
-    , m_shutdownTimer(loop, [this] { m_isListening ? stopListening() : endIfIdle(); })
+    , m_shutdownTimer(loop, [this] { m_isListening ? stopListening() : finishShutdownIfIdle(); })
 {
 }
 
@@ -123,13 +123,13 @@
     return m_server->port();
 }
 
-void RouterTask::followSettings()
+void RouterTask::applySettings()
 {
     const std::shared_ptr<const Settings::InForceSettings> inForce = m_services.settings->current();
-    setFleet();
+    updateFleet();
     m_links.setBackendServers(inForce->backendServers);
-    m_starter.setSettings(inForce);
-    m_settingsSince = m_loop.now();
+    m_requestFactory.setSettings(inForce);
+    m_settingsAppliedAt = m_loop.now();
     m_settingsRevision = inForce->revision;
     Observe::log(settingsFollowed, {{"revision", std::to_string(inForce->revision)}});
 }
@@ -137,10 +137,10 @@
 void RouterTask::setLeavingHosts(std::set<std::string> names)
 {
     m_leavingHosts = std::move(names);
-    setFleet();
+    updateFleet();
 }
 
-void RouterTask::setFleet()
+void RouterTask::updateFleet()
 {
     std::vector<Decisions::BackendServer> fleet = fleetOf(*m_services.settings->current());
     for (Decisions::BackendServer &server : fleet) {
@@ -175,13 +175,13 @@
     if (exchange->method() != "POST") {
         respondFailure(*exchange, {}, invalidRequest(notAllowedStatus, "method_not_allowed", "This path takes POST only."));
     } else if (exchange->path() == "/v1/completions") {
-        begin(m_starter.startCompletion(exchange, CallerInterface::Completions));
+        startTask(m_requestFactory.createCompletion(exchange, CallerInterface::Completions));
     } else if (exchange->path() == "/v1/chat/completions") {
-        begin(m_starter.startCompletion(exchange, CallerInterface::ChatCompletions));
+        startTask(m_requestFactory.createCompletion(exchange, CallerInterface::ChatCompletions));
     } else if (exchange->path() == "/explain") {
-        m_starter.explain(*exchange);
+        m_requestFactory.explain(*exchange);
     } else {
-        begin(m_starter.startServiceCall(exchange));
+        startTask(m_requestFactory.createServiceCall(exchange));
     }
 }
 
@@ -200,13 +200,13 @@
     } else if (path == "/status") {
         exchange.respond(okStatus, {{"Content-Type", "application/json"}}, statusJson(status()));
     } else if (path == "/v1/models") {
-        m_starter.listModels(exchange);
+        m_requestFactory.listModels(exchange);
     } else {
         respondFailure(exchange, {}, invalidRequest(notFoundStatus, "not_found", "There is nothing at this path."));
     }
 }
 
-void RouterTask::begin(const std::shared_ptr<RequestTask> &task)
+void RouterTask::startTask(const std::shared_ptr<RequestTask> &task)
 {
     if (task != nullptr) {
         m_metrics.count("requests_total");
@@ -227,7 +227,7 @@
         m_peerListener->receiveFromPeer(id, message);
     }
     if (const verbena::wire::LoadHint *hint = loadHintOf(message)) {
-        noteHint(id, *hint);
+        handleLoadHint(id, *hint);
     }
     if (message.has_admitted()) {
         if (RequestTask *task = find(message.admitted().request())) {
@@ -244,13 +244,13 @@
     }
 }
 
-void RouterTask::noteHint(Decisions::BackendServerId id, const verbena::wire::LoadHint &hint)
+void RouterTask::handleLoadHint(Decisions::BackendServerId id, const verbena::wire::LoadHint &hint)
 {
     const Core::TimePoint now = m_loop.now();
     m_chooser.updateLoad(id, loadReportOf(hint), now);
-    m_overload.note(id, hint.overload_level(), now);
+    m_overload.update(id, hint.overload_level(), now);
     if (hint.heat_width() > 0) {
-        m_chooser.setHomeCount(Decisions::PrefixKey(hint.heat_key()), hint.heat_width(), now + heatLifetime);
+        m_chooser.setHomeCount(Decisions::PrefixKey(hint.heat_key()), hint.heat_width(), now + hotPrefixLifetime);
     }
 }
 
@@ -272,7 +272,7 @@
     if (link == nullptr) {
         return Core::Error{Core::ErrorCode::NotFound, "router.peer", "", "There is no connection to this agent."};
     }
-    return link->sendAside(message);
+    return link->sendBackground(message);
 }
 
 void RouterTask::agentReady(Decisions::BackendServerId id)
@@ -281,7 +281,7 @@
         m_peerListener->peerReady(id);
     }
     for (const std::shared_ptr<RequestTask> &task : runningTasks()) {
-        task->noteAgentReady(id);
+        task->handleAgentReady(id);
     }
 }
 
@@ -292,7 +292,7 @@
         m_peerListener->peerLost(id);
     }
     for (const std::shared_ptr<RequestTask> &task : runningTasks()) {
-        task->noteAgentLost(id);
+        task->handleAgentLost(id);
     }
 }
 
@@ -330,11 +330,11 @@
     status.incarnation = m_incarnation;
     status.isReady = isServing();
     status.settingsRevision = m_settingsRevision;
-    status.settingsAge = std::chrono::duration_cast<std::chrono::microseconds>(m_loop.now() - m_settingsSince);
+    status.settingsAge = std::chrono::duration_cast<std::chrono::microseconds>(m_loop.now() - m_settingsAppliedAt);
     status.settingsJson = m_peerListener == nullptr ? std::string() : m_peerListener->settingsJson();
     status.inFlight = m_tasks.size();
     status.agentLinks = m_links.count();
-    status.agentsDown = m_links.down().size();
+    status.agentsDown = m_links.unreachable().size();
     status.connections = m_server->connectionCount();
     return status;
 }
@@ -355,11 +355,11 @@
     m_isListening = false;
     m_server->stopListening();
     Observe::log(listenerClosed, {{"in_flight", std::to_string(m_tasks.size())}});
-    endIfIdle();
+    finishShutdownIfIdle();
 }
 
 // Running requests are bounded by their deadlines, so that this comes to an end.
-void RouterTask::endIfIdle()
+void RouterTask::finishShutdownIfIdle()
 {
     if (m_server->openExchangeCount() > 0) {
         m_shutdownTimer.startAt(m_loop.now() + shutdownCheckInterval);
--- a/src/libs/router/routertask.h
+++ b/src/libs/router/routertask.h
@@ -5,7 +5,7 @@
 #include "introspection.h"
 #include "peerlistener.h"
 #include "requestcontext.h"
-#include "requeststarter.h"
+#include "requestfactory.h"
 #include "requesttask.h"
 #include "routersettings.h"
 
@@ -69,18 +69,18 @@
     Core::Result<void> readKeys();
     Core::Result<void> listen();
     RequestContext context();
-    void followSettings();
-    void setFleet();
+    void applySettings();
+    void updateFleet();
     bool isServing() const;
     void handlePost(const std::shared_ptr<Http::HttpExchange> &exchange);
     void handleGet(Http::HttpExchange &exchange);
-    void begin(const std::shared_ptr<RequestTask> &task);
-    void noteHint(Decisions::BackendServerId id, const verbena::wire::LoadHint &hint);
+    void startTask(const std::shared_ptr<RequestTask> &task);
+    void handleLoadHint(Decisions::BackendServerId id, const verbena::wire::LoadHint &hint);
     RequestTask *find(const std::string &id);
     std::vector<std::shared_ptr<RequestTask>> runningTasks() const;
     RouterStatus status() const;
     void stopListening();
-    void endIfIdle();
+    void finishShutdownIfIdle();
 
     EventLoop::Loop &m_loop;
     RouterSettings m_settings;
@@ -93,12 +93,12 @@
     OverloadLevels m_overload;
     Wire::MessageContext m_context;
     AgentLinks m_links;
-    RequestStarter m_starter;
+    RequestFactory m_requestFactory;
     std::unordered_map<std::string, std::shared_ptr<RequestTask>> m_tasks;
     std::vector<std::shared_ptr<RequestTask>> m_finished;
     EventLoop::DeferredCall m_removeFinished;
     std::unique_ptr<Http::HttpServer> m_server;
-    Core::TimePoint m_settingsSince;
+    Core::TimePoint m_settingsAppliedAt;
     std::uint64_t m_settingsRevision = 0; ///< 0 until there are settings.
     std::set<std::string> m_leavingHosts;
     bool m_isReady = true;
--- a/src/libs/router/teamlimits.cpp
+++ b/src/libs/router/teamlimits.cpp
@@ -2,7 +2,7 @@
 
 namespace Verbena::Router {
 
-TeamLimits::Slot TeamLimits::take(const std::string &organisation, const std::string &team, std::uint32_t maximum)
+TeamLimits::Slot TeamLimits::acquire(const std::string &organisation, const std::string &team, std::uint32_t maximum)
 {
     std::shared_ptr<Count> &count = m_counts[organisation + '/' + team];
     if (count == nullptr) {
--- a/src/libs/router/teamlimits.h
+++ b/src/libs/router/teamlimits.h
@@ -15,7 +15,7 @@
     using Slot = std::shared_ptr<void>;
 
     /// \brief Takes a place for a request of \a team of \a organisation; null if \a maximum run already (0: no limit).
-    Slot take(const std::string &organisation, const std::string &team, std::uint32_t maximum);
+    Slot acquire(const std::string &organisation, const std::string &team, std::uint32_t maximum);
 
 private:
     struct Count
--- a/src/libs/router/wireconversion.cpp
+++ b/src/libs/router/wireconversion.cpp
@@ -7,7 +7,7 @@
 constexpr int tooManyRequestsStatus = 429;
 constexpr int firstServerErrorStatus = 500;
 
-bool isEngineTrouble(int status)
+bool isEngineFailure(int status)
 {
     return status == 0 || status == tooManyRequestsStatus || status >= firstServerErrorStatus;
 }
@@ -50,7 +50,7 @@
     case verbena::wire::END_KIND_DEADLINE:
         return Decisions::AttemptEnd::DeadlinePassed;
     case verbena::wire::END_KIND_REJECTED:
-        return isCompletion && isEngineTrouble(ended.status()) ? Decisions::AttemptEnd::EngineLost : Decisions::AttemptEnd::Rejected;
+        return isCompletion && isEngineFailure(ended.status()) ? Decisions::AttemptEnd::EngineLost : Decisions::AttemptEnd::Rejected;
     default:
         return Decisions::AttemptEnd::EngineLost;
     }
--- a/tests/auto/control/tst_keepers.cpp
+++ b/tests/auto/control/tst_keepers.cpp
@@ -111,12 +111,12 @@
     };
     EXPECT_EQ(claimBy(first, "r1").outcome, Router::ClaimOutcome::Granted);
     EXPECT_EQ(claimBy(second, "r2").outcome, Router::ClaimOutcome::Taken);
-    first.noteEnd({"kessick", "dams", "key", "r1"}, RunState::NotRun);
+    first.recordEnd({"kessick", "dams", "key", "r1"}, RunState::NotRun);
     Router::ClaimAnswer answer = claimBy(second, "r3");
     while (answer.outcome != Router::ClaimOutcome::Granted) {
         answer = claimBy(second, "r3");
     }
-    second.noteEnd({"kessick", "dams", "key", "r3"}, RunState::Run);
+    second.recordEnd({"kessick", "dams", "key", "r3"}, RunState::Run);
     answer = claimBy(first, "r4");
     while (answer.holder != RunState::Run) {
         EXPECT_EQ(answer.outcome, Router::ClaimOutcome::Taken);
--- a/tests/auto/path/tst_failures.cpp
+++ b/tests/auto/path/tst_failures.cpp
@@ -62,30 +62,30 @@
 }
 
 /// What a streamed answer said, in order.
-struct Streamed
+struct StreamContent
 {
     std::string text;
     std::string run; ///< From an error event.
     bool isDone = false;
 };
 
-Streamed readStream(const std::string &body)
+StreamContent readStream(const std::string &body)
 {
-    Streamed streamed;
+    StreamContent content;
     std::size_t begin = 0;
     while ((begin = body.find("data: ", begin)) != std::string::npos) {
         begin += std::string_view("data: ").size();
         const std::string data = body.substr(begin, body.find("\n\n", begin) - begin);
         const json event = json::parse(data, nullptr, false);
         if (data == "[DONE]") {
-            streamed.isDone = true;
+            content.isDone = true;
         } else if (event.contains("error")) {
-            streamed.run = event["error"]["verbena_run"];
+            content.run = event["error"]["verbena_run"];
         } else if (!event["choices"].empty()) {
-            streamed.text += event["choices"][0]["text"].get<std::string>();
+            content.text += event["choices"][0]["text"].get<std::string>();
         }
     }
-    return streamed;
+    return content;
 }
 
 json statusOf(const TestDeployment &deployment)
@@ -93,14 +93,14 @@
     return json::parse(sendHttp("GET", deployment.routerUrl() + "/status", {}, "").body);
 }
 
-std::string frameCountOf(const TestDeployment &deployment)
+std::string tokenIntervalCountOf(const TestDeployment &deployment)
 {
     const std::string text = sendHttp("GET", deployment.routerUrl() + "/metrics", {}, "").body;
     const std::size_t begin = text.find("verbena_time_between_tokens_seconds_count");
     return begin == std::string::npos ? std::string() : text.substr(begin, text.find('\n', begin) - begin);
 }
 
-std::size_t bytesHeldBy(const TestDeployment::Backend &backend)
+std::size_t bufferedBytesOf(const TestDeployment::Backend &backend)
 {
     return json::parse(sendHttp("GET", "http://" + backend.statusAddress + "/status", {}, "").body)["buffered_bytes"];
 }
@@ -190,10 +190,10 @@
     void expectWhole(const std::string &prompt, const TestAnswer &answer)
     {
         EXPECT_EQ(answer.status, 200);
-        const Streamed streamed = readStream(answer.body);
-        EXPECT_EQ(streamed.text, Standin::AnswerText(prompt).whole(answerTokens));
-        EXPECT_TRUE(streamed.isDone);
-        EXPECT_EQ(streamed.run, "");
+        const StreamContent content = readStream(answer.body);
+        EXPECT_EQ(content.text, Standin::AnswerText(prompt).whole(answerTokens));
+        EXPECT_TRUE(content.isDone);
+        EXPECT_EQ(content.run, "");
     }
 
     TestDeployment m_deployment;
@@ -209,7 +209,7 @@
 {
 };
 
-TEST_P(EngineFailureTest, theCallerOfAnIdempotentRequestSeesOneWholeStream)
+TEST_P(EngineFailureTest, idempotentRequestGetsOneWholeStream)
 {
     const std::string prompt = "piezometer 12";
     setFaults(homeOf(prompt), GetParam().faults);
@@ -225,15 +225,15 @@
         EngineFault{"losesTheEnd", {{"lose_answer", true}, {"times", 1}}}),
     [](const auto &instance) { return std::string(instance.param.name); });
 
-TEST_F(FailureTest, aNonIdempotentStreamThatIsCutEndsWithAnErrorAndIsNotRunAgain)
+TEST_F(FailureTest, interruptedNonIdempotentStreamFailsAndIsNotRetried)
 {
     const std::string prompt = "seepage 3";
     setFaults(homeOf(prompt), {{"cut_after_tokens", 20}, {"times", 1}});
     const TestAnswer answer = m_deployment.post("/v1/completions", completion(prompt).dump(), {"Verbena-Idempotent: false"});
-    const Streamed streamed = readStream(answer.body);
-    EXPECT_FALSE(streamed.isDone);
-    EXPECT_EQ(streamed.run, "run");
-    EXPECT_TRUE(Standin::AnswerText(prompt).whole(answerTokens).starts_with(streamed.text));
+    const StreamContent content = readStream(answer.body);
+    EXPECT_FALSE(content.isDone);
+    EXPECT_EQ(content.run, "run");
+    EXPECT_TRUE(Standin::AnswerText(prompt).whole(answerTokens).starts_with(content.text));
     std::size_t runs = 0;
     for (std::size_t i = 0; i < 2; ++i) {
         for (const json &run : runsOf(m_deployment.engine(i))) {
@@ -243,7 +243,7 @@
     EXPECT_EQ(runs, 1U);
 }
 
-TEST_F(FailureTest, anAgentThatIsKilledMidStreamIsReplacedByAnother)
+TEST_F(FailureTest, streamResumesElsewhereIfItsAgentIsKilled)
 {
     const std::string prompt = "settlement 9";
     TestDeployment::Backend &home = homeOf(prompt);
@@ -259,7 +259,7 @@
     expectWhole("after", m_deployment.post("/v1/completions", completion("after").dump()));
 }
 
-TEST_F(FailureTest, aCallWhoseAnswerIsLostAfterItsEffectIsUnknownOrRepeatedIfItMayBe)
+TEST_F(FailureTest, callWithALostAnswerIsUnknownOrRetriedIfIdempotent)
 {
     for (std::size_t i = 0; i < 2; ++i) {
         setFaults(m_deployment.service(i), {{"lose_answer", true}, {"times", 1}});
@@ -272,7 +272,7 @@
     EXPECT_EQ(repeated.fields.at("verbena-run"), "run");
 }
 
-TEST_F(FailureTest, acrossFaultsNoMarkedCallRunsTwiceAndNotRunIsTrue)
+TEST_F(FailureTest, nonIdempotentCallsRunAtMostOnceAndNotRunIsAccurate)
 {
     struct Answered
     {
@@ -320,7 +320,7 @@
     }
 }
 
-TEST_F(FailureTest, aCallerWhoLeavesFreesTheEngine)
+TEST_F(FailureTest, disconnectedCallerFreesTheEngine)
 {
     const std::string prompt = "leaving early";
     TestDeployment::Backend &home = homeOf(prompt);
@@ -337,7 +337,7 @@
     EXPECT_EQ(statusOf(m_deployment)["in_flight"], 0);
 }
 
-TEST_F(FailureTest, aDeadlineThatPassesFreesTheEngine)
+TEST_F(FailureTest, expiredDeadlineFreesTheEngine)
 {
     const std::string prompt = "too late";
     TestDeployment::Backend &home = homeOf(prompt);
@@ -384,7 +384,7 @@
     TestDeployment m_deployment{options()};
 };
 
-TEST_F(ClaimTest, aKeyThatIsRepeatedAtAnotherRouterDoesNotRunAgain)
+TEST_F(ClaimTest, repeatedKeyAtAnotherRouterDoesNotRunAgain)
 {
     EXPECT_EQ(append("a", 0).status, 200);
     const TestAnswer repeated = append("a", 1);
@@ -393,7 +393,7 @@
     EXPECT_EQ(runCount(), 1U);
 }
 
-TEST_F(ClaimTest, aKeyWhoseRouterIsKilledWhileItRunsDoesNotRunAgain)
+TEST_F(ClaimTest, keyOfAKilledRouterDoesNotRunAgain)
 {
     for (std::size_t i = 0; i < 2; ++i) {
         setFaults(m_deployment.service(i), {{"slow_factor", 500}});
@@ -412,7 +412,7 @@
     EXPECT_EQ(append("c", 0).status, 200);
 }
 
-TEST_F(ClaimTest, withoutTheTableAMarkedRequestIsTrulyNotRunAndOthersAreServed)
+TEST_F(ClaimTest, withoutTheTableNonIdempotentCallsAreNotRunAndOthersAreServed)
 {
     EXPECT_EQ(append("d", 0).status, 200);
     m_deployment.platform().sendSignal(SIGKILL);
@@ -424,7 +424,7 @@
     EXPECT_EQ(m_deployment.post("/v1/services/register/look", "{}").status, 200);
 }
 
-TEST_F(ClaimTest, aRouterThatRestartsWithoutThePlatformServes)
+TEST_F(ClaimTest, routerRestartedWithoutThePlatformServesRequests)
 {
     EXPECT_EQ(append("f", 0).status, 200);
     m_deployment.platform().sendSignal(SIGKILL);
@@ -433,7 +433,7 @@
     EXPECT_EQ(m_deployment.post("/v1/services/register/look", "{}").status, 200);
 }
 
-TEST_F(ClaimTest, aBackendServerThatIsListedAsLeavingGetsNothingNew)
+TEST_F(ClaimTest, leavingBackendServerGetsNoNewRequests)
 {
     const json leaving{{"hosts", json::array({{{"name", "engine1"}, {"address", ""}, {"failure_domain", "a"}, {"incarnation", 1}, {"leaving", true}}})}};
     ASSERT_EQ(sendHttp("POST", m_deployment.platformUrl() + "/control", {}, leaving.dump()).status, 200);
@@ -447,30 +447,30 @@
 }
 
 /// Waits until the agent holds \a full bytes and no more of the answer comes to the router, or the request is over; what the agent holds then.
-std::size_t waitForStandstill(TestDeployment &deployment, std::size_t full)
+std::size_t waitForStall(TestDeployment &deployment, std::size_t full)
 {
-    constexpr int looks = 5;
+    constexpr int requiredSamples = 5;
     std::string before;
     std::size_t held = 0;
-    for (int same = 0; same < looks;) {
+    for (int same = 0; same < requiredSamples;) {
         std::this_thread::sleep_for(std::chrono::milliseconds(50));
-        const std::string now = frameCountOf(deployment);
+        const std::string now = tokenIntervalCountOf(deployment);
         if (!now.empty() && statusOf(deployment)["in_flight"] != 1) {
             break;
         }
-        held = bytesHeldBy(deployment.engine());
+        held = bufferedBytesOf(deployment.engine());
         same = now == before && held >= full ? same + 1 : 0;
         before = now;
     }
     return held;
 }
 
-TEST(SlowReaderTest, holdsTheEngineBackAndGetsTheWholeAnswerInTheEnd)
+TEST(SlowReaderTest, throttlesTheEngineAndGetsTheWholeAnswer)
 {
     // Of nine bytes each. However many of them the agent joins into a frame, the text alone is longer than what the sockets (150 KB), the
     // router (16 KiB), the frames under way (4 of 32 KiB) and the agent (32 KiB) hold together.
     constexpr std::uint32_t tokens = 60000;
-    constexpr std::size_t fullAgent = 16 * 1024; // The agent stops the engine from here on, and one read of 16 KiB can come on top.
+    constexpr std::size_t throttleThreshold = 16 * 1024; // The agent stops the engine from here on, and one read of 16 KiB can come on top.
     DeploymentOptions options;
     options.engineArguments = {"--decode-interval-us", "5"};
     options.routerSettings = "streams: {maximum_buffered_bytes: 16384, frame_credit: 4}\n";
@@ -478,14 +478,14 @@
     json body = completion("slow");
     body["max_tokens"] = tokens;
     RawCaller caller(deployment.routerUrl(), body);
-    const std::size_t held = waitForStandstill(deployment, fullAgent);
+    const std::size_t held = waitForStall(deployment, throttleThreshold);
     // The answer is not whole, so the request is still running.
     EXPECT_EQ(statusOf(deployment)["in_flight"], 1);
-    EXPECT_GE(held, fullAgent);
-    EXPECT_LE(held, 2 * fullAgent);
-    const Streamed streamed = readStream(caller.readAll());
-    EXPECT_EQ(streamed.text, Standin::AnswerText("slow").whole(tokens));
-    EXPECT_TRUE(streamed.isDone);
+    EXPECT_GE(held, throttleThreshold);
+    EXPECT_LE(held, 2 * throttleThreshold);
+    const StreamContent content = readStream(caller.readAll());
+    EXPECT_EQ(content.text, Standin::AnswerText("slow").whole(tokens));
+    EXPECT_TRUE(content.isDone);
 }
 
 /// Engines that are slow until the test lets them go on, and a notice that a busy machine does not miss.
@@ -493,12 +493,12 @@
 {
 protected:
     TerminationTest()
-        : FailureTest(patientOptions())
+        : FailureTest(optionsWithLongNotice())
     {
         setSlowFactor(100);
     }
 
-    static DeploymentOptions patientOptions()
+    static DeploymentOptions optionsWithLongNotice()
     {
         DeploymentOptions patient = options();
         // The time from the signal until the late request has come is the test's own, and this is the routers' default.
@@ -532,7 +532,7 @@
     }
 };
 
-TEST_F(TerminationTest, terminationUnderLoadCutsNothing)
+TEST_F(TerminationTest, terminationUnderLoadInterruptsNoRequest)
 {
     std::vector<std::future<TestAnswer>> answers;
     constexpr std::size_t callers = 20;
@@ -566,7 +566,7 @@
 {
 };
 
-TEST_P(MalformedRequestTest, isAnsweredAndHarmsNothing)
+TEST_P(MalformedRequestTest, isAnsweredWithoutStoppingTheRouter)
 {
     EXPECT_TRUE(rc::check("any body and header", [this](const std::string &noise, std::uint32_t position, bool isStream) {
         std::string body = *rc::gen::element<std::string>(completion("x", isStream).dump(),
@@ -587,7 +587,7 @@
 INSTANTIATE_TEST_SUITE_P(
     Paths, MalformedRequestTest, testing::Values("/v1/completions", "/v1/chat/completions", "/explain", "/v1/services/register/append", "/v1/services//"));
 
-TEST_F(FailureTest, limitsModelsAndServicesOfATeamHold)
+TEST_F(FailureTest, teamMayUseOnlyItsModelsServicesAndClasses)
 {
     const TestAnswer models = sendHttp("GET", m_deployment.routerUrl() + "/v1/models", {"Authorization: Bearer secret"}, "");
     EXPECT_EQ(json::parse(models.body)["data"].size(), 2U);
--- a/tests/auto/path/tst_path.cpp
+++ b/tests/auto/path/tst_path.cpp
@@ -43,7 +43,7 @@
     EXPECT_TRUE(answer.body.ends_with("data: [DONE]\n\n"));
 }
 
-TEST_F(PathTest, givesTheWholeAnswerAtOnce)
+TEST_F(PathTest, returnsTheWholeAnswerInOneResponse)
 {
     const TestAnswer answer = complete({{"model", "analyst"}, {"prompt", "seepage"}, {"max_tokens", 5}});
     EXPECT_EQ(answer.status, 200);
@@ -60,7 +60,7 @@
 }
 
 // Whoever restarts logs or renews certificates sends one to each process.
-TEST_F(PathTest, goesOnAfterSighup)
+TEST_F(PathTest, continuesAfterSighup)
 {
     m_deployment.router().sendSignal(SIGHUP);
     for (int number = 0; number < 3; ++number) {
