--- a/src/apps/router/main.cpp
+++ b/src/apps/router/main.cpp
@@ -66,7 +66,7 @@
         Application::reportSignal(SIGINT);
         running.stop();
     });
-    // Without an answer to it the signal would end the process; the router has nothing that it could read again.
+    // Unhandled, SIGHUP would end the process. It is only logged, as the router has no files to reload.
     EventLoop::SignalWatcher hangUp(running, SIGHUP, [] { Application::reportSignal(SIGHUP); });
     std::cout << "listening http " << settings.value().listen.address << ":" << task.value()->port() << std::endl;
     Application::reportStart(VERBENA_VERSION, settings.value().listen.address + ":" + std::to_string(task.value()->port()));
--- a/src/apps/router/routercontrol.cpp
+++ b/src/apps/router/routercontrol.cpp
@@ -10,7 +10,7 @@
 
 namespace {
 
-// A router without traffic keeps this many connections, so that it hears of settings.
+// Number of connections that a router without traffic keeps open to receive settings.
 constexpr std::size_t minimumPeers = 3;
 constexpr std::chrono::seconds peerCheckInterval{2};
 
@@ -77,7 +77,7 @@
 Core::Result<void> RouterControl::sendToPeer(const std::string &peer, const verbena::wire::Envelope &message)
 {
     Core::Result<void> sent = m_task->sendToPeer(Decisions::BackendServerId(std::stoull(peer)), message);
-    // Nobody tells of a connection that was closed because it was idle.
+    // A connection that is closed as idle is not reported with peerLost(), so the peer is removed here.
     if (!sent && sent.error().code == Core::ErrorCode::NotFound) {
         std::erase(m_peers, std::string(peer));
     }
--- a/src/apps/router/routercontrol.h
+++ b/src/apps/router/routercontrol.h
@@ -12,17 +12,17 @@
 
 namespace Verbena::Router {
 
-/// \brief The router's ties to the platform: the settings tree, which it also hears from agents and passes on to them, and claims.
+/// \brief Connects the router to the platform: follows the settings tree, also through gossip with agents, follows the host list and provides claims.
 class RouterControl : public SettingsTree::PeerChannel, public PeerListener
 {
 public:
-    /// \brief Starts at once. Errors: Internal.
+    /// \brief Creates the control and starts following the settings. Errors: Internal.
     static Core::Result<std::unique_ptr<RouterControl>> create(EventLoop::Loop &loop, const RouterSettings &settings);
 
-    /// \brief What \a task looks up here. The control has to live longer than the task.
+    /// \brief Returns the services for a RouterTask. The control must outlive the task.
     RouterServices services() const;
 
-    /// \brief Uses the connections of \a task from now on.
+    /// \brief Starts using the connections of \a task for gossip.
     void attach(RouterTask &task);
 
     const std::vector<std::string> &peers() const override;
--- a/src/libs/router/agentlink.cpp
+++ b/src/libs/router/agentlink.cpp
@@ -11,7 +11,7 @@
 
 namespace {
 
-// A connection that does not stand yet refuses messages at no cost, so the first welcome is asked for often.
+// A socket that is not connected yet rejects messages at no cost, so Hello is repeated often until the first Welcome.
 constexpr std::chrono::milliseconds connectingHelloInterval{5};
 constexpr std::chrono::milliseconds downHelloInterval{100};
 
@@ -94,7 +94,7 @@
 {
     verbena::wire::Envelope envelope;
     envelope.mutable_hello();
-    // What cannot be sent now is said again soon.
+    // A Hello that cannot be sent now is repeated by the timer.
     static_cast<void>(m_socket->send({}, envelope));
 }
 
--- a/src/libs/router/agentlink.h
+++ b/src/libs/router/agentlink.h
@@ -11,32 +11,33 @@
 
 namespace Verbena::Router {
 
-/// \brief Takes what agents send, and what becomes of the connections to them.
+/// \brief Receives messages from agents and changes of the connections to them.
 class AgentListener
 {
 public:
     virtual ~AgentListener() = default;
 
+    /// \brief Handles \a message from the agent of \a id.
     virtual void receiveFromAgent(Decisions::BackendServerId id, const verbena::wire::Envelope &message) = 0;
 
-    /// \brief Attempts can be sent to the agent now.
+    /// \brief Handles that attempts can now be sent to the agent of \a id.
     virtual void agentReady(Decisions::BackendServerId id) = 0;
 
-    /// \brief Whatever was sent to the agent so far may have come to nothing: it is silent, cut off or a new incarnation.
+    /// \brief Handles the loss of the agent of \a id: it is silent, disconnected or restarted, so all messages sent to it so far may be lost.
     virtual void agentLost(Decisions::BackendServerId id) = 0;
 };
 
-/// \brief The connection to one agent: says Hello until the agent welcomes it, and again as a heartbeat.
+/// \brief The connection to one agent: sends Hello messages until the agent answers with Welcome, and then as heartbeats.
 class AgentLink : public Wire::MessageReceiver
 {
 public:
     enum class State {
-        Connecting, ///< Not welcomed yet, and not for long.
-        Ready,
-        Down, ///< Not welcomed in time, or silent.
+        Connecting, ///< Waiting for Welcome within the connect timeout.
+        Ready, ///< Attempts can be sent.
+        Down, ///< No Welcome in time, or the agent was lost.
     };
 
-    /// \brief Begins to connect. Errors: InvalidArgument, Unavailable.
+    /// \brief Starts connecting to \a server. Errors: InvalidArgument, Unavailable.
     static Core::Result<std::unique_ptr<AgentLink>> connect(EventLoop::Loop &loop,
         Wire::MessageContext &context,
         const Decisions::BackendServer &server,
@@ -47,16 +48,16 @@
     State state() const;
     const std::string &endpoint() const;
 
-    /// \brief The incarnation that the agent welcomed with.
+    /// \brief Returns the incarnation in the agent's last Welcome; 0 before the first.
     std::uint64_t incarnation() const;
 
-    /// \brief When something was last sent for a request.
+    /// \brief Returns when a message was last sent with send(); initially the creation time.
     Core::TimePoint lastUsed() const;
 
-    /// \brief Sends at once. Errors: Unavailable or ResourceExhausted; then no byte was sent.
+    /// \brief Sends \a message without queueing it. Errors: Unavailable or ResourceExhausted; then no byte was sent.
     Core::Result<void> send(const verbena::wire::Envelope &message);
 
-    /// \brief The same for what has nothing to do with a request: it does not keep the connection open.
+    /// \brief Sends a \a message that belongs to no request: as send(), but the connection can still become idle and be closed.
     Core::Result<void> sendBackground(const verbena::wire::Envelope &message);
 
     void receiveMessage(const std::string &peer, const verbena::wire::Envelope &message) override;
--- a/src/libs/router/agentlinks.cpp
+++ b/src/libs/router/agentlinks.cpp
@@ -41,7 +41,7 @@
     for (auto entry = m_links.begin(); entry != m_links.end();) {
         const auto current = entry++;
         const auto endpoint = endpoints.find(current->first);
-        // A server that is gone from settings keeps the connection for the requests that run there.
+        // A server that was removed from the settings keeps its connection for the attempts that still run there.
         const bool isMoved = endpoint != endpoints.end() && endpoint->second != current->second.link->endpoint();
         if (isMoved || (endpoint == endpoints.end() && current->second.attempts == 0)) {
             close(current);
@@ -137,7 +137,7 @@
     return true;
 }
 
-// This may be called from within a function of the link, so it is only forgotten here and destroyed later.
+// May be called from within a member function of the link, so the link is only removed here and destroyed later.
 void AgentLinks::close(std::unordered_map<Decisions::BackendServerId, Entry>::iterator entry)
 {
     const Decisions::BackendServerId id = entry->first;
--- a/src/libs/router/agentlinks.h
+++ b/src/libs/router/agentlinks.h
@@ -12,35 +12,40 @@
 
 namespace Verbena::Router {
 
-/// \brief The router's connections to agents: opened when first used, closed when idle, bounded in number.
+/// \brief The router's connections to agents: opened on first use, closed when idle, limited in number.
 class AgentLinks
 {
 public:
     AgentLinks(EventLoop::Loop &loop, Wire::MessageContext &context, const LinkSettings &settings, AgentListener &listener);
     ~AgentLinks();
 
-    /// \brief Sets the router's own CURVE keys, before the first connection.
+    /// \brief Sets the router's own CURVE keys; must be called before the first connection is opened.
     void setOwnKeys(const std::string &publicKey, const std::string &secretKey);
 
-    /// \brief Takes the keys of agents, and closes connections to backend servers that are gone or have moved.
+    /// \brief Updates the agents' keys and closes connections to backend servers that have moved or were removed.
+    ///
+    /// The connection to a removed server stays open while attempts run there.
     void setBackendServers(const std::map<std::string, Settings::BackendServerSettings> &servers);
 
-    /// \brief Takes the key of one agent that settings may not tell of yet.
+    /// \brief Sets the CURVE key of one agent, which may not be in the settings yet.
     void setAgentKey(Decisions::BackendServerId id, const std::string &publicKey);
 
-    /// \brief The connection to \a server, opened if need be. Errors: ResourceExhausted, InvalidArgument, Unavailable.
+    /// \brief Returns the connection to \a server, opened if necessary. Errors: ResourceExhausted, InvalidArgument, Unavailable.
     Core::Result<AgentLink *> open(const Decisions::BackendServer &server);
 
-    /// \brief The connection to \a id, or null if there is none.
+    /// \brief Returns the connection to \a id, or null if there is none.
     AgentLink *find(Decisions::BackendServerId id) const;
 
-    /// \brief Backend servers whose agents cannot be reached at present.
+    /// \brief Returns the backend servers whose connections are down.
     std::vector<Decisions::BackendServerId> unreachable() const;
 
-    /// \brief Counts a running attempt at \a id; a connection with one is not closed.
+    /// \brief Counts an attempt at \a id; a connection with attempts is not closed when idle.
     void addAttempt(Decisions::BackendServerId id);
+
+    /// \brief Removes an attempt that addAttempt() counted.
     void removeAttempt(Decisions::BackendServerId id);
 
+    /// \brief Returns the number of open connections.
     std::size_t count() const;
 
 private:
--- a/src/libs/router/answerformat.cpp
+++ b/src/libs/router/answerformat.cpp
@@ -10,7 +10,7 @@
 
 using nlohmann::json;
 
-// Bytes that are no UTF-8 must not break the answer; they become the replacement character.
+// Invalid UTF-8 must not make the answer fail, so it is replaced by the replacement character.
 std::string dump(const json &value)
 {
     return value.dump(-1, ' ', false, json::error_handler_t::replace);
@@ -39,7 +39,7 @@
     return letter >= ' ' && letter < '\x7f' && letter != '"' && letter != '\\';
 }
 
-// Nearly all text is plain, and the JSON library is slow for pieces as short as a token.
+// Nearly all text needs no escaping, and the JSON library is slow for pieces as short as a token.
 void appendQuoted(std::string_view text, std::string &output)
 {
     if (std::all_of(text.begin(), text.end(), isPlainAscii)) {
@@ -58,7 +58,7 @@
     , m_requestId(std::move(requestId))
     , m_model(std::move(model))
 {
-    // The head and the tail of every event of a stream are the same, so only the text is formatted anew.
+    // All events of a stream have the same head and tail, so only the text is formatted for each event.
     const bool isChat = interface == CallerInterface::ChatCompletions;
     const char *object = isChat ? "chat.completion.chunk" : "text_completion";
     m_chunkHead = "data: {\"id\":" + dump(m_requestId) + ",\"object\":\"" + object + "\",\"model\":" + dump(m_model) + ",\"choices\":[{\"index\":0,";
--- a/src/libs/router/answerformat.h
+++ b/src/libs/router/answerformat.h
@@ -11,7 +11,7 @@
 
 namespace Verbena::Router {
 
-/// \brief Token counts that an answer reports.
+/// \brief The token counts reported with an answer.
 struct Usage
 {
     std::uint32_t promptTokens = 0;
@@ -19,25 +19,25 @@
     std::uint32_t completionTokens = 0;
 };
 
-/// \brief Writes answers in the form of the OpenAI interface.
+/// \brief Formats answers as in the OpenAI API.
 class AnswerFormat
 {
 public:
     AnswerFormat(CallerInterface interface, std::string requestId, std::string model);
 
-    /// \brief Appends one server-sent event with a part of the answer to \a output.
+    /// \brief Appends a server-sent event with \a text, the next part of the answer, to \a output.
     void appendChunk(std::string_view text, std::string &output) const;
 
-    /// \brief The events that end a whole stream, [DONE] among them.
+    /// \brief Returns the events that end a complete stream, including [DONE].
     std::string streamEnd(const std::string &finishReason, const Usage &usage, bool isUsageWanted) const;
 
-    /// \brief The body of an answer that is not streamed.
+    /// \brief Returns the body of an answer that is not streamed.
     std::string wholeBody(const std::string &text, const std::string &finishReason, const Usage &usage) const;
 
-    /// \brief The event that ends a stream which cannot be made whole.
+    /// \brief Returns the event that ends a stream which cannot be completed.
     static std::string errorEvent(const RequestFailure &failure);
 
-    /// \brief The body of an error answer.
+    /// \brief Returns the body of an error answer.
     static std::string errorBody(const RequestFailure &failure);
 
 private:
@@ -48,10 +48,10 @@
     std::string m_chunkTail;
 };
 
-/// \brief The header fields that every answer carries.
+/// \brief Returns the header fields of every answer.
 std::vector<Http::HttpField> answerFields(const std::string &contentType, const std::string &requestId, Decisions::RunState run);
 
-/// \brief Answers with \a failure as an error in the OpenAI form.
+/// \brief Answers with \a failure as an error in the format of the OpenAI API.
 void respondFailure(Http::HttpExchange &exchange, const std::string &requestId, const RequestFailure &failure);
 
 } // namespace Verbena::Router
--- a/src/libs/router/answerwriter.h
+++ b/src/libs/router/answerwriter.h
@@ -11,41 +11,42 @@
 
 namespace Verbena::Router {
 
-/// \brief Why a request gets no whole answer, as its caller is told.
+/// \brief The error that the caller of a failed request receives.
 struct RequestFailure
 {
-    int status = 500; ///< HTTP status, where none has been sent yet.
-    std::string type; ///< In the words of the OpenAI interface.
-    std::string code;
-    std::string message; ///< A full sentence.
-    Decisions::RunState run = Decisions::RunState::NotRun;
-    std::optional<std::chrono::microseconds> retryAfter;
+    int status = 500; ///< HTTP status, used if none has been sent yet.
+    std::string type; ///< Error type of the OpenAI API.
+    std::string code; ///< Machine-readable error code.
+    std::string message; ///< Full sentence for the caller.
+    Decisions::RunState run = Decisions::RunState::NotRun; ///< Whether the request has been run.
+    std::optional<std::chrono::microseconds> retryAfter; ///< Suggested delay before a retry.
 };
 
-/// \brief The value of the header field Verbena-Run.
+/// \brief Returns the value of the header field Verbena-Run for \a run.
 const char *runStateName(Decisions::RunState run);
 
-/// \brief Writes the answer to one request in the form that its caller wants.
+/// \brief Writes the answer to one request in the format that its caller asked for.
 class AnswerWriter
 {
 public:
     virtual ~AnswerWriter() = default;
 
-    /// \brief Takes the next part of the answer.
+    /// \brief Writes or stores the next part of the answer.
     virtual void deliver(std::string_view text) = 0;
 
-    /// \brief A new attempt begins from the start; only for requests that cannot be resumed.
+    /// \brief Discards what was stored, as a new attempt starts over; called only for requests that are not resumable.
     virtual void restart() = 0;
 
-    /// \brief The answer is whole.
+    /// \brief Completes the answer.
     virtual void finish(const verbena::wire::Ended &ended) = 0;
 
+    /// \brief Answers with \a failure, or ends a stream that has begun with it.
     virtual void fail(const RequestFailure &failure) = 0;
 
-    /// \brief Bytes that wait for the caller to take them.
+    /// \brief Returns the number of bytes that are buffered for the caller.
     virtual std::size_t bufferedBytes() const = 0;
 
-    /// \brief The text delivered so far; empty if it is not kept.
+    /// \brief Returns the text delivered so far; empty if it is not stored.
     virtual const std::string &deliveredText() const = 0;
 };
 
--- a/src/libs/router/callerdirectory.cpp
+++ b/src/libs/router/callerdirectory.cpp
@@ -11,7 +11,7 @@
 
 constexpr std::string_view bearer = "Bearer ";
 
-// What a caller learns of the time that a bucket is found in is at most this part of the hash of a guess of its own.
+// The bucket lookup is not constant-time. From its timing a caller learns at most this many characters of the hash of a key that it guessed.
 constexpr std::size_t bucketCharacters = 6;
 
 std::string sha256Hex(std::string_view text)
--- a/src/libs/router/callerdirectory.h
+++ b/src/libs/router/callerdirectory.h
@@ -9,16 +9,16 @@
 
 namespace Verbena::Router {
 
-/// \brief Finds the team that a caller's key stands for. Only hashes of keys are known.
+/// \brief Finds the team that an API key belongs to. Only hashes of the keys are stored.
 class CallerDirectory
 {
 public:
-    /// \brief Takes the keys of all teams in force.
+    /// \brief Replaces the keys by those of all teams in \a settings.
     void setSettings(std::shared_ptr<const Settings::InForceSettings> settings);
 
-    /// \brief The team that \a authorization, the value of the header field, stands for; null if the key is not known.
+    /// \brief Returns the team for \a authorization, the value of the header field; null if the key is unknown.
     ///
-    /// Valid until the next setSettings().
+    /// The pointer is valid until the next setSettings().
     const Settings::TeamSettings *find(const std::string &authorization) const;
 
 private:
@@ -29,7 +29,7 @@
     };
 
     std::shared_ptr<const Settings::InForceSettings> m_settings;
-    std::unordered_map<std::string, std::vector<Entry>> m_entries; ///< By the first characters of the hash.
+    std::unordered_map<std::string, std::vector<Entry>> m_entries; ///< Entries by the first characters of the hash.
 };
 
 } // namespace Verbena::Router
--- a/src/libs/router/claimservice.h
+++ b/src/libs/router/claimservice.h
@@ -8,30 +8,30 @@
 
 namespace Verbena::Router {
 
-/// \brief Which idempotency key is claimed, and for which request.
+/// \brief The claim of an idempotency key for a request.
 struct Claim
 {
     std::string organisation;
     std::string team;
-    std::string key; ///< As the caller gave it.
-    std::string request; ///< Id of the request that claims it; no two requests have the same.
+    std::string key; ///< Idempotency key as sent by the caller.
+    std::string request; ///< Unique id of the request that claims the key.
 };
 
-/// \brief How a claim ended.
+/// \brief The result of a claim.
 enum class ClaimOutcome {
-    Granted, ///< This request may run; no other with the same key will be granted.
+    Granted, ///< The request may run; no other request with the same key is granted.
     Taken, ///< Another request holds the key.
-    Unavailable, ///< The table cannot say; nothing may run.
+    Unavailable, ///< The table cannot be read or written; the request may not run.
 };
 
 /// \brief The answer to a claim.
 struct ClaimAnswer
 {
     ClaimOutcome outcome = ClaimOutcome::Unavailable;
-    Decisions::RunState holder = Decisions::RunState::Unknown; ///< If taken: what is known of the request that holds the key.
+    Decisions::RunState holder = Decisions::RunState::Unknown; ///< If the key is taken: whether the request that holds it has run.
 };
 
-/// \brief Claims idempotency keys, so that a non-idempotent request runs at most once, whichever router it comes to.
+/// \brief Claims idempotency keys, so that a non-idempotent request runs at most once, whichever routers receive it.
 class ClaimService
 {
 public:
@@ -39,14 +39,14 @@
 
     virtual ~ClaimService() = default;
 
-    /// \brief Claims a key; \a done is called once, at the latest shortly after \a deadline.
+    /// \brief Claims a key; \a done is called once, shortly after \a deadline at the latest.
     virtual void claim(const Claim &claim, Core::TimePoint deadline, Callback done) = 0;
 
-    /// \brief Notes what became of the request of a granted claim. One that was not run gives its key back.
+    /// \brief Records how the request of a granted claim ended. If it was not run, its key is released.
     virtual void recordEnd(const Claim &claim, Decisions::RunState run) = 0;
 };
 
-/// \brief Grants nothing; for deployments without a table service.
+/// \brief Answers every claim with Unavailable; for deployments without a table service.
 class RefusingClaimService : public ClaimService
 {
 public:
--- a/src/libs/router/completionwriter.cpp
+++ b/src/libs/router/completionwriter.cpp
@@ -103,7 +103,7 @@
     respondFailure(*m_exchange, m_requestId, failure);
 }
 
-// What is gathered here is bounded by the tokens asked for and does not wait for the caller.
+// The stored text is limited by the requested number of tokens and does not wait for the caller to read.
 std::size_t WholeCompletionWriter::bufferedBytes() const
 {
     return 0;
--- a/src/libs/router/completionwriter.h
+++ b/src/libs/router/completionwriter.h
@@ -11,7 +11,7 @@
 class StreamedCompletionWriter : public AnswerWriter
 {
 public:
-    /// \brief With \a isKeepingText false the text is not kept, which a request that cannot be resumed needs not.
+    /// \brief Creates a writer that stores the delivered text only if \a isKeepingText; a request that cannot be resumed does not need it.
     StreamedCompletionWriter(std::shared_ptr<Http::HttpExchange> exchange, const CallerRequest &request, const std::string &requestId, bool isKeepingText);
 
     void deliver(std::string_view text) override;
@@ -34,7 +34,7 @@
     std::string m_event;
 };
 
-/// \brief Writes a completion in one piece when it is whole.
+/// \brief Collects a completion and writes it in one response when it is complete.
 class WholeCompletionWriter : public AnswerWriter
 {
 public:
--- a/src/libs/router/fleet.h
+++ b/src/libs/router/fleet.h
@@ -8,22 +8,23 @@
 
 namespace Verbena::Router {
 
-/// \brief A model as callers name it.
+/// \brief The name of a model as callers write it.
 struct ModelName
 {
     std::string model;
-    std::string adapter; ///< Empty for the bare model.
+    std::string adapter; ///< Empty for the model without an adapter.
 
-    /// \brief Reads "model" or "model:adapter".
+    /// \brief Parses "model" or "model:adapter".
     static ModelName fromText(const std::string &text);
 
+    /// \brief Returns the name in the form that fromText() parses.
     std::string toText() const;
 };
 
-/// \brief What \a name stands for at the version of the weights in force.
+/// \brief Returns the model \a name with the version of its weights that \a settings put in force.
 Decisions::ModelVersion versionInForce(const ModelName &name, const Settings::InForceSettings &settings);
 
-/// \brief The backend servers that settings declare; a drained one is leaving.
+/// \brief Returns the backend servers declared in \a settings; drained ones are leaving.
 std::vector<Decisions::BackendServer> fleetOf(const Settings::InForceSettings &settings);
 
 } // namespace Verbena::Router
--- a/src/libs/router/overloadlevels.cpp
+++ b/src/libs/router/overloadlevels.cpp
@@ -4,7 +4,7 @@
 
 namespace {
 
-// A level that was told longer ago says nothing any more: some request has to go there to hear of a new one.
+// An older level is no longer valid: some request must be sent to the agent again, so that it reports a new one.
 constexpr std::chrono::milliseconds levelValidity{1500};
 
 } // namespace
--- a/src/libs/router/overloadlevels.h
+++ b/src/libs/router/overloadlevels.h
@@ -8,14 +8,14 @@
 
 namespace Verbena::Router {
 
-/// \brief The overload levels that agents told, so that the router refuses what they would refuse before it costs anything.
+/// \brief The overload levels that agents reported. With them the router refuses requests which the agents would refuse, without sending them.
 class OverloadLevels
 {
 public:
-    /// \brief Notes that \a id refuses requests marked at or above \a level; 0 means none.
+    /// \brief Records that \a id refuses requests with a mark at or above \a level; with level 0 it refuses none.
     void update(Decisions::BackendServerId id, std::uint32_t level, Core::TimePoint now);
 
-    /// \brief Whether \a id would refuse \a mark by what it told lately.
+    /// \brief Returns whether \a id refuses \a mark according to its last valid level.
     bool isRefusing(Decisions::BackendServerId id, std::uint32_t mark, Core::TimePoint now) const;
 
 private:
--- a/src/libs/router/requestcontext.h
+++ b/src/libs/router/requestcontext.h
@@ -13,17 +13,17 @@
 
 namespace Verbena::Router {
 
-/// \brief Hears when requests are over.
+/// \brief Is notified when requests are finished.
 class RequestListener
 {
 public:
     virtual ~RequestListener() = default;
 
-    /// \brief The request \a id is over; it must not be destroyed before the loop's iteration ends.
+    /// \brief Handles that the request \a id is finished; its task must not be destroyed before the current iteration of the loop ends.
     virtual void requestFinished(const std::string &id) = 0;
 };
 
-/// \brief What all requests of a router share.
+/// \brief The objects that all requests of a router share.
 struct RequestContext
 {
     EventLoop::Loop &loop;
--- a/src/libs/router/requestfactory.h
+++ b/src/libs/router/requestfactory.h
@@ -14,25 +14,25 @@
 
 namespace Verbena::Router {
 
-/// \brief Turns what callers send into requests: checks key, header fields, body and limits, or answers what is wrong.
+/// \brief Creates request tasks from HTTP requests: checks the API key, header fields, body and limits, and answers invalid requests with an error.
 class RequestFactory
 {
 public:
     RequestFactory(const RequestContext &context, const RouterSettings &settings);
 
-    /// \brief Takes the settings in force.
+    /// \brief Replaces the settings in force.
     void setSettings(std::shared_ptr<const Settings::InForceSettings> settings);
 
-    /// \brief The task of a completion; null if the exchange was answered.
+    /// \brief Returns the task for a completion; null if the exchange was answered with an error.
     std::shared_ptr<RequestTask> createCompletion(const std::shared_ptr<Http::HttpExchange> &exchange, CallerInterface interface);
 
-    /// \brief The task of a call of a plain service; null if the exchange was answered.
+    /// \brief Returns the task for a call of a plain service; null if the exchange was answered with an error.
     std::shared_ptr<RequestTask> createServiceCall(const std::shared_ptr<Http::HttpExchange> &exchange);
 
     /// \brief Answers with the models that the caller may call.
     void listModels(Http::HttpExchange &exchange) const;
 
-    /// \brief Answers where a completion would go, with the reasons, without running it.
+    /// \brief Answers with the routing candidates of a completion and their scores, without running it.
     void explain(Http::HttpExchange &exchange) const;
 
 private:
--- a/src/libs/router/requestfailure.h
+++ b/src/libs/router/requestfailure.h
@@ -5,22 +5,22 @@
 
 namespace Verbena::Router {
 
-/// \brief What the caller is told of a request that was given up.
+/// \brief Returns the error for the caller of a request that failed.
 RequestFailure requestFailureOf(const Decisions::FailRequest &failure);
 
-/// \brief What the caller is told when an engine answered with an error of its own.
+/// \brief Returns the error for the caller of a request that a backend server rejected.
 RequestFailure rejectionFailure(const verbena::wire::Ended &ended);
 
-/// \brief What the caller is told when its idempotency key was not granted.
+/// \brief Returns the error for a caller whose idempotency key was not granted.
 RequestFailure claimFailure(const ClaimAnswer &answer);
 
-/// \brief What the caller is told when a plain service answers more than the router keeps.
+/// \brief Returns the error for an answer of a plain service that exceeds the router's limit.
 RequestFailure tooLargeFailure(Decisions::RunState run);
 
-/// \brief An error in the request itself; it has not been run.
+/// \brief Returns the error for an invalid request, which has not been run.
 RequestFailure invalidRequest(int status, const std::string &code, const std::string &message);
 
-/// \brief A refusal for want of room; it has not been run.
+/// \brief Returns the error for a request that exceeds a limit and has not been run.
 RequestFailure limitFailure(int status, const std::string &code, const std::string &message, std::chrono::microseconds retryAfter);
 
 } // namespace Verbena::Router
--- a/src/libs/router/requestmeter.h
+++ b/src/libs/router/requestmeter.h
@@ -9,22 +9,22 @@
 
 namespace Verbena::Router {
 
-/// \brief Measures one request for the histograms of its tenant.
+/// \brief Records the latencies and token counts of one request in the histograms of its tenant.
 class RequestMeter
 {
 public:
     RequestMeter(Observe::Metrics &metrics, Observe::TenantLabel tenant, Core::TimePoint startTime);
 
-    /// \brief Tokens have come from the agent.
+    /// \brief Records that \a count tokens were received from the agent at \a now.
     void recordTokens(std::uint32_t count, Core::TimePoint now);
 
-    /// \brief A completion is whole.
+    /// \brief Records the queue wait and the token counts of a complete answer.
     void recordEnd(const verbena::wire::Ended &ended);
 
 private:
     Observe::Metrics &m_metrics;
     Observe::TenantLabel m_tenant;
-    Core::TimePoint m_lastTokensAt; ///< The startTime, or when tokens last came.
+    Core::TimePoint m_lastTokensAt; ///< Time of the last tokens; before the first, the start of the request.
     bool m_hasTokens = false;
 };
 
--- a/src/libs/router/requestplan.cpp
+++ b/src/libs/router/requestplan.cpp
@@ -106,7 +106,7 @@
     RequestPlan plan = commonPlan(effective, team, settings);
     plan.policy.isResumable = false;
     plan.query.service = service;
-    // Services keep no prefixes; the id spreads their calls.
+    // Services cache no prefixes, so the root is computed from the request id, which spreads the calls over the servers.
     plan.query.root = Decisions::PrefixChain::fromText({plan.id, {}}, {}, settings.pieceBytes).root();
     verbena::wire::Dispatch &dispatch = *plan.envelope.mutable_dispatch();
     dispatch.set_kind(verbena::wire::RUN_KIND_SERVICE_CALL);
--- a/src/libs/router/requestplan.h
+++ b/src/libs/router/requestplan.h
@@ -20,17 +20,17 @@
 
 struct RouterSettings;
 
-/// \brief What the header fields of a request say, checked.
+/// \brief The validated options from the header fields of a request.
 struct RequestOptions
 {
-    std::string requestClass; ///< "default" if the caller names none.
-    std::uint32_t mark = 0; ///< Higher is refused earlier.
+    std::string requestClass; ///< Class of the request; "default" if the caller sets none.
+    std::uint32_t mark = 0; ///< Shedding order under overload: requests with a higher mark are refused earlier.
     bool isIdempotent = true;
-    std::string idempotencyKey; ///< Empty if there is none.
+    std::string idempotencyKey; ///< Empty if the caller sets none.
     Core::TimePoint deadline;
 };
 
-/// \brief Everything about one request that is the same for all its attempts.
+/// \brief The data of one request that all its attempts share.
 struct RequestPlan
 {
     std::string id;
@@ -39,18 +39,18 @@
     Core::TimePoint deadline;
     std::uint32_t mark = 0;
     Observe::TenantLabel tenant;
-    std::optional<Claim> claim; ///< What has to be granted before the first attempt.
-    TeamLimits::Slot slot;
-    verbena::wire::Envelope envelope; ///< The Dispatch of an attempt, but for what differs between attempts.
+    std::optional<Claim> claim; ///< Claim that must be granted before the first attempt.
+    TeamLimits::Slot slot; ///< Place among the running requests of the team.
+    verbena::wire::Envelope envelope; ///< Dispatch message without the fields that differ between attempts.
 
-    /// \brief The plan for a completion. Errors: NotFound, if the team may not call the model.
+    /// \brief Returns the plan for a completion. Errors: NotFound, if the team may not call the model.
     static Core::Result<RequestPlan> forCompletion(const CallerRequest &request,
         const RequestOptions &options,
         const Settings::TeamSettings &team,
         const Settings::InForceSettings &inForce,
         const RouterSettings &settings);
 
-    /// \brief The plan for \a call of the plain service \a service. Errors: NotFound, if the team may not call it.
+    /// \brief Returns the plan for \a call of the plain service \a service. Errors: NotFound, if the team may not call it.
     static Core::Result<RequestPlan> forServiceCall(const std::string &service,
         const std::string &call,
         const std::string &body,
@@ -60,7 +60,7 @@
         const RouterSettings &settings);
 };
 
-/// \brief An id that no other request has, on any router.
+/// \brief Returns a random id that is unique across all routers.
 std::string newRequestId();
 
 } // namespace Verbena::Router
--- a/src/libs/router/requesttask.cpp
+++ b/src/libs/router/requesttask.cpp
@@ -124,7 +124,7 @@
     }
 }
 
-// Answers the caller itself if there is no backend server to send to.
+// If no backend server can be chosen, the tracker decides on the answer to the caller.
 std::optional<BackendServerId> RequestTask::chooseServer(const Decisions::DispatchAttempt &action)
 {
     const Core::TimePoint now = m_context.loop.now();
@@ -136,7 +136,7 @@
         perform(m_tracker.handleNoCandidate());
         return std::nullopt;
     }
-    // What the caller has begun to read is not given up for this.
+    // A request whose answer has partly been delivered is not shed.
     const bool mayShed = action.resumeTokens == 0;
     for (const Decisions::RouteCandidate &candidate : decision.candidates) {
         if (!mayShed || !m_context.overload.isRefusing(candidate.id, m_plan.mark, now)) {
@@ -191,7 +191,7 @@
     verbena::wire::Envelope envelope;
     envelope.mutable_cancel()->set_request(m_plan.id);
     envelope.mutable_cancel()->set_attempt(action.attempt);
-    // An agent that cannot be told finds out by the deadline.
+    // If the message cannot be sent, the agent ends the attempt at its deadline.
     static_cast<void>(link->send(envelope));
 }
 
@@ -247,7 +247,7 @@
     return !m_plan.policy.isResumable && m_writer->bufferedBytes() > m_context.settings.streams.maximumAnswerBytes;
 }
 
-// A caller that does not read keeps the agent, and by it the engine, from sending more.
+// While a caller does not read, the agent gets no credit, so the agent and through it the engine send no more.
 void RequestTask::grantCredit()
 {
     const StreamSettings &streams = m_context.settings.streams;
@@ -287,7 +287,7 @@
         return;
     }
     if (action.kind == AttemptEnd::Complete && m_ended.kind() != verbena::wire::END_KIND_COMPLETE) {
-        // All tokens came and only the word that they were all was lost.
+        // All tokens were received and only the Ended message was lost.
         m_ended.set_finish_reason("length");
         m_ended.set_prompt_tokens(m_plan.envelope.dispatch().prompt_tokens());
     }
--- a/src/libs/router/requesttask.h
+++ b/src/libs/router/requesttask.h
@@ -12,7 +12,7 @@
 
 namespace Verbena::Router {
 
-/// \brief One caller's request on its way through the router: carries out what its AttemptTracker decides.
+/// \brief The processing of one caller's request: performs the actions that its AttemptTracker decides on.
 class RequestTask : public std::enable_shared_from_this<RequestTask>
 {
 public:
@@ -24,7 +24,7 @@
 
     const std::string &id() const;
 
-    /// \brief Claims the idempotency key if there is one, and begins the first attempt.
+    /// \brief Claims the idempotency key if there is one, and starts the first attempt.
     void start();
 
     void receiveAdmitted(const verbena::wire::Admitted &admitted);
@@ -32,10 +32,10 @@
     void receiveFrame(const verbena::wire::Frame &frame);
     void receiveEnded(const verbena::wire::Ended &ended);
 
-    /// \brief The connection to \a server stands.
+    /// \brief Sends the attempt that waits for the connection to \a server.
     void handleAgentReady(Decisions::BackendServerId server);
 
-    /// \brief Nothing more will come of what was sent to \a server.
+    /// \brief Handles that an attempt at \a server gets no further messages.
     void handleAgentLost(Decisions::BackendServerId server);
 
 private:
@@ -68,11 +68,11 @@
     RequestMeter m_meter;
     Decisions::BackendServerId m_server{};
     std::uint32_t m_resumeTokens = 0;
-    bool m_hasServer = false; ///< An attempt is bound to m_server, sent or not.
+    bool m_hasServer = false; ///< Whether an attempt is assigned to m_server, sent or not.
     bool m_isWaitingForLink = false;
-    bool m_isWorkRecorded = false;
-    std::chrono::microseconds m_expectedWork{0};
-    std::uint32_t m_uncreditedFrames = 0; ///< Since the last credit.
+    bool m_isWorkRecorded = false; ///< Whether m_expectedWork counts as unanswered work of m_server.
+    std::chrono::microseconds m_expectedWork{0}; ///< Expected prefill time of the attempt.
+    std::uint32_t m_uncreditedFrames = 0; ///< Number of frames delivered since the last credit.
     bool m_isClaimGranted = false;
     bool m_isFinished = false;
     verbena::wire::Ended m_ended;
--- a/src/libs/router/routersettings.cpp
+++ b/src/libs/router/routersettings.cpp
@@ -22,7 +22,7 @@
     settings.certificateFile = listen.string("certificate_file", "");
     settings.privateKeyFile = listen.string("private_key_file", "");
     if (settings.certificateFile.empty() != settings.privateKeyFile.empty()) {
-        listen.addProblem("certificate_file", "A certificate needs a private key, and the other way round.");
+        listen.addProblem("certificate_file", "A certificate needs a private key, and a private key needs a certificate.");
     }
 }
 
--- a/src/libs/router/routersettings.h
+++ b/src/libs/router/routersettings.h
@@ -15,42 +15,42 @@
 
 namespace Verbena::Router {
 
-/// \brief How long requests may take and how often they are tried.
+/// \brief Deadlines, attempts and retry budget of requests.
 struct RequestSettings
 {
     std::chrono::microseconds defaultDeadline = std::chrono::seconds(60);
     std::chrono::microseconds maximumDeadline = std::chrono::minutes(10);
     std::uint32_t maximumAttempts = 6;
-    std::uint32_t defaultMark = 4; ///< Of requests without a class.
-    double retryFraction = 0.1; ///< Retries allowed for each success.
-    double retryCapacity = 200; ///< Retries that can be saved up.
-    double retryAtStart = 10; ///< Of those, what a router starts with.
+    std::uint32_t defaultMark = 4; ///< Mark of requests without a class.
+    double retryFraction = 0.1; ///< Retries added to the budget by each success.
+    double retryCapacity = 200; ///< Maximum of the retry budget.
+    double retryAtStart = 10; ///< Retry budget of a router at its start.
 };
 
-/// \brief How much of an answer is kept for a caller that reads slowly.
+/// \brief Limits for buffering answers for callers that read slowly.
 struct StreamSettings
 {
-    std::uint32_t frameCredit = 64; ///< Frames that an agent may send ahead.
-    std::size_t maximumBufferedBytes = 256 * 1024; ///< With more than this unread, agents get no more credit.
-    std::size_t maximumAnswerBytes = 8 * 1024 * 1024; ///< Of a plain service.
+    std::uint32_t frameCredit = 64; ///< Number of frames that an agent may send without new credit.
+    std::size_t maximumBufferedBytes = 256 * 1024; ///< Unread bytes above which agents get no more credit.
+    std::size_t maximumAnswerBytes = 8 * 1024 * 1024; ///< Maximum answer of a plain service.
 };
 
-/// \brief The connections to agents.
+/// \brief Settings of the connections to agents.
 struct LinkSettings
 {
-    std::chrono::microseconds connectTimeout = std::chrono::milliseconds(250); ///< After this a request goes to the next candidate.
+    std::chrono::microseconds connectTimeout = std::chrono::milliseconds(250); ///< Time after which a request is sent to the next candidate.
     std::chrono::microseconds heartbeatInterval = std::chrono::milliseconds(500);
-    std::chrono::microseconds heartbeatTimeout = std::chrono::seconds(3); ///< An agent that is silent for so long is taken for dead.
-    std::chrono::microseconds idleTimeout = std::chrono::minutes(2); ///< A connection without requests is closed after this.
+    std::chrono::microseconds heartbeatTimeout = std::chrono::seconds(3); ///< Time without a message after which an agent counts as lost.
+    std::chrono::microseconds idleTimeout = std::chrono::minutes(2); ///< Time after which a connection without requests is closed.
     std::size_t maximumOpen = 512;
 };
 
-/// \brief An agent that a starting router asks for settings before it knows any.
+/// \brief An agent that a router asks for settings at its start, before it has any.
 struct SettingsPeer
 {
     std::string name;
     std::string endpoint;
-    std::string agentPublicKey; ///< CURVE key; empty without encryption.
+    std::string agentPublicKey; ///< CURVE key; empty for no encryption.
 };
 
 /// \brief The settings of one router process.
@@ -62,23 +62,23 @@
     std::string certificateFile; ///< PEM; empty for plain HTTP.
     std::string privateKeyFile;
     std::string secretKeyFile; ///< CURVE key towards agents; empty for no encryption.
-    std::string platformUrl; ///< Of the platform's table and object store; empty if the tree comes from files.
+    std::string platformUrl; ///< URL of the platform's table and object store; empty if the settings tree comes from files.
     std::vector<SettingsPeer> settingsPeers;
-    std::vector<std::string> treeFiles; ///< The settings tree, where there is no table service.
-    std::size_t pieceBytes = 8192; ///< Bytes of text that stand for one piece of the engines' cache.
-    std::size_t pieceTokens = 2048;
+    std::vector<std::string> treeFiles; ///< Files of the settings tree, for deployments without a table service.
+    std::size_t pieceBytes = 8192; ///< Bytes of text that correspond to one piece of the engines' cache.
+    std::size_t pieceTokens = 2048; ///< Tokens of one piece, for prompts of token ids.
     RequestSettings requests;
     StreamSettings streams;
     LinkSettings links;
-    std::chrono::microseconds shutdownNotice = std::chrono::seconds(5); ///< For so long the listener goes on after SIGTERM.
-    double recomputationWeight = 0; ///< How much recomputed tokens count beside the time to first token.
+    std::chrono::microseconds shutdownNotice = std::chrono::seconds(5); ///< Time after SIGTERM during which the router still accepts connections.
+    double recomputationWeight = 0; ///< Weight of recomputed tokens relative to the time to first token.
 
     Observe::LogOptions log;
 
-    /// \brief Reads and checks a file. Errors name file, line and key of every problem.
+    /// \brief Reads and validates a file. Errors name the file, line and key of every problem.
     static Core::Result<RouterSettings> fromFile(const std::string &path);
 
-    /// \brief Asks \a reader for every key and finishes it.
+    /// \brief Reads every key from \a reader and finishes it.
     static Core::Result<RouterSettings> read(Settings::SettingsReader &reader);
 };
 
--- a/src/libs/router/routertask.cpp
+++ b/src/libs/router/routertask.cpp
@@ -162,7 +162,7 @@
         exchange->closeAfterAnswer();
     }
     if (isPostPath(exchange->path()) && m_settingsRevision == 0) {
-        respondFailure(*exchange, {}, limitFailure(unavailableStatus, "starting", "The router has not learned the settings yet.", std::chrono::seconds(1)));
+        respondFailure(*exchange, {}, limitFailure(unavailableStatus, "starting", "The router has not received its settings yet.", std::chrono::seconds(1)));
     } else if (isPostPath(exchange->path())) {
         handlePost(exchange);
     } else {
@@ -173,7 +173,7 @@
 void RouterTask::handlePost(const std::shared_ptr<Http::HttpExchange> &exchange)
 {
     if (exchange->method() != "POST") {
-        respondFailure(*exchange, {}, invalidRequest(notAllowedStatus, "method_not_allowed", "This path takes POST only."));
+        respondFailure(*exchange, {}, invalidRequest(notAllowedStatus, "method_not_allowed", "This path accepts only POST."));
     } else if (exchange->path() == "/v1/completions") {
         startTask(m_requestFactory.createCompletion(exchange, CallerInterface::Completions));
     } else if (exchange->path() == "/v1/chat/completions") {
@@ -202,7 +202,7 @@
     } else if (path == "/v1/models") {
         m_requestFactory.listModels(exchange);
     } else {
-        respondFailure(exchange, {}, invalidRequest(notFoundStatus, "not_found", "There is nothing at this path."));
+        respondFailure(exchange, {}, invalidRequest(notFoundStatus, "not_found", "This path does not exist."));
     }
 }
 
@@ -262,7 +262,7 @@
 void RouterTask::openPeer(const Decisions::BackendServer &server, const std::string &agentPublicKey)
 {
     m_links.setAgentKey(server.id, agentPublicKey);
-    // One that cannot be opened is tried again with the next look for peers.
+    // A connection that cannot be opened is tried again at the next check of the peers.
     static_cast<void>(m_links.open(server));
 }
 
@@ -312,7 +312,7 @@
     return found == m_tasks.end() ? nullptr : found->second.get();
 }
 
-// Tasks end, and new ones begin, while all are told of something.
+// Returns a copy, as tasks can finish and new ones start while the tasks are notified.
 std::vector<std::shared_ptr<RequestTask>> RouterTask::runningTasks() const
 {
     std::vector<std::shared_ptr<RequestTask>> tasks;
@@ -358,7 +358,7 @@
     finishShutdownIfIdle();
 }
 
-// Running requests are bounded by their deadlines, so that this comes to an end.
+// Terminates because every running request ends at its deadline.
 void RouterTask::finishShutdownIfIdle()
 {
     if (m_server->openExchangeCount() > 0) {
--- a/src/libs/router/routertask.h
+++ b/src/libs/router/routertask.h
@@ -26,36 +26,37 @@
 
 namespace Verbena::Router {
 
-/// \brief What a router looks up elsewhere in its process.
+/// \brief The services that a router uses from its process.
 struct RouterServices
 {
     std::shared_ptr<Settings::SettingsView> settings;
     std::shared_ptr<ClaimService> claims;
 };
 
-/// \brief The router process: callers' HTTP on one side, agents on the other.
+/// \brief The main task of the router process: accepts HTTP requests from callers and sends them to agents.
 class RouterTask : public Http::HttpHandler, public AgentListener, public RequestListener
 {
 public:
-    /// \brief Starts to listen. Errors: Unavailable, if the address cannot be had; NotFound or InvalidArgument, if a key file is wrong.
+    /// \brief Creates the task and starts listening. Errors: Unavailable, if the address cannot be bound; NotFound or InvalidArgument, if a key file is
+    /// invalid.
     static Core::Result<std::unique_ptr<RouterTask>> create(EventLoop::Loop &loop, const RouterSettings &settings, const RouterServices &services);
     ~RouterTask() override;
 
     std::uint16_t port() const;
 
-    /// \brief Takes the names of hosts that the platform lists as leaving; they get no new work.
+    /// \brief Sets the names of hosts that the platform lists as leaving; they get no new requests.
     void setLeavingHosts(std::set<std::string> names);
 
-    /// \brief Takes the router out of service without cutting a request; \a done is called when nothing is left to do.
+    /// \brief Shuts the router down without interrupting a request; \a done is called when all requests are finished.
     void beginShutdown(std::function<void()> done);
 
-    /// \brief Passes what agents send beside requests to \a listener, which may be null.
+    /// \brief Passes all messages from agents except for frames to \a listener, which may be null.
     void setPeerListener(PeerListener *listener);
 
-    /// \brief Opens a connection to \a server, if there is none, to hear of settings.
+    /// \brief Opens a connection to \a server if there is none, to receive settings gossip.
     void openPeer(const Decisions::BackendServer &server, const std::string &agentPublicKey);
 
-    /// \brief Sends what has nothing to do with a request. Errors: NotFound, if there is no connection; Unavailable, ResourceExhausted.
+    /// \brief Sends a \a message that belongs to no request. Errors: NotFound, if there is no connection; Unavailable, ResourceExhausted.
     Core::Result<void> sendToPeer(Decisions::BackendServerId id, const verbena::wire::Envelope &message);
 
     void handleRequest(const std::shared_ptr<Http::HttpExchange> &exchange) override;
@@ -99,7 +100,7 @@
     EventLoop::DeferredCall m_removeFinished;
     std::unique_ptr<Http::HttpServer> m_server;
     Core::TimePoint m_settingsAppliedAt;
-    std::uint64_t m_settingsRevision = 0; ///< 0 until there are settings.
+    std::uint64_t m_settingsRevision = 0; ///< Revision of the settings; 0 until there are any.
     std::set<std::string> m_leavingHosts;
     bool m_isReady = true;
     bool m_isListening = true;
--- a/src/libs/router/servicewriter.cpp
+++ b/src/libs/router/servicewriter.cpp
@@ -50,7 +50,7 @@
     return m_body.size();
 }
 
-// Calls are never resumed.
+// Service calls are never resumed, so no text is needed.
 const std::string &ServiceWriter::deliveredText() const
 {
     static const std::string nothing;
--- a/src/libs/router/servicewriter.h
+++ b/src/libs/router/servicewriter.h
@@ -8,7 +8,7 @@
 
 namespace Verbena::Router {
 
-/// \brief Passes the answer of a plain service back, with its status, when it is whole.
+/// \brief Collects the answer of a plain service and returns it with its status when it is complete.
 class ServiceWriter : public AnswerWriter
 {
 public:
--- a/src/libs/router/teamlimits.h
+++ b/src/libs/router/teamlimits.h
@@ -7,14 +7,14 @@
 
 namespace Verbena::Router {
 
-/// \brief Counts the running requests of each team.
+/// \brief Limits the number of running requests of each team.
 class TeamLimits
 {
 public:
-    /// \brief The place of one running request; it is free again when this goes.
+    /// \brief The place of one running request; released when the last copy is destroyed.
     using Slot = std::shared_ptr<void>;
 
-    /// \brief Takes a place for a request of \a team of \a organisation; null if \a maximum run already (0: no limit).
+    /// \brief Returns a place for a request of \a team of \a organisation; null if \a maximum requests already run (0: no limit).
     Slot acquire(const std::string &organisation, const std::string &team, std::uint32_t maximum);
 
 private:
--- a/src/libs/router/wireconversion.h
+++ b/src/libs/router/wireconversion.h
@@ -7,17 +7,19 @@
 
 namespace Verbena::Router {
 
-/// \brief Why an agent refused, in the words of the decisions.
+/// \brief Converts the \a reason of an agent's refusal.
 Decisions::AttemptRefusal attemptRefusalOf(verbena::wire::RefusalReason reason);
 
-/// \brief How an attempt ended. An engine's own trouble counts as lost, as another engine may do better.
+/// \brief Converts how an attempt ended. For completions, a failure of the engine itself counts as lost, as another engine may succeed.
 Decisions::AttemptEnd attemptEndOf(const verbena::wire::Ended &ended, bool isCompletion);
 
+/// \brief Converts a refusal for the choice of routes.
 Decisions::RouteRefusal routeRefusalOf(const verbena::wire::Refused &refused);
 
+/// \brief Converts the load that an agent reported.
 Decisions::LoadReport loadReportOf(const verbena::wire::LoadHint &hint);
 
-/// \brief What the agent says of itself in \a message, or null if it says nothing.
+/// \brief Returns the load report in \a message, or null if there is none.
 const verbena::wire::LoadHint *loadHintOf(const verbena::wire::Envelope &message);
 
 } // namespace Verbena::Router
--- a/tests/auto/path/tst_failures.cpp
+++ b/tests/auto/path/tst_failures.cpp
@@ -27,7 +27,7 @@
 
 constexpr std::uint32_t answerTokens = 60;
 
-// A stand-in that refuses connections takes new faults when that is over.
+// A stand-in that refuses connections accepts new faults only after that time, so this retries.
 void setFaults(const TestDeployment::Backend &backend, const json &faults)
 {
     while (sendHttp("POST", "http://" + backend.address + "/control", {}, faults.dump()).status != 200) {
@@ -61,11 +61,11 @@
     return {{"model", "analyst"}, {"prompt", prompt}, {"max_tokens", answerTokens}, {"stream", isStream}};
 }
 
-/// What a streamed answer said, in order.
+/// The content of a streamed answer.
 struct StreamContent
 {
     std::string text;
-    std::string run; ///< From an error event.
+    std::string run; ///< Run state from an error event; empty if there was none.
     bool isDone = false;
 };
 
@@ -105,7 +105,7 @@
     return json::parse(sendHttp("GET", "http://" + backend.statusAddress + "/status", {}, "").body)["buffered_bytes"];
 }
 
-/// A caller that sends a completion, and reads and leaves when it likes.
+/// A caller that sends a completion, reads the answer only on request and disconnects on destruction.
 class RawCaller
 {
 public:
@@ -126,7 +126,7 @@
     RawCaller(const RawCaller &) = delete;
     RawCaller &operator=(const RawCaller &) = delete;
 
-    /// The body of the answer, without its division into chunks.
+    /// Reads the answer to its end and returns its body without the chunked encoding.
     std::string readAll() const
     {
         widen(m_socket);
@@ -160,7 +160,7 @@
     int m_socket;
 };
 
-/// Two engines and two services behind one router.
+/// Runs two engines and two services behind one router.
 class FailureTest : public testing::Test
 {
 protected:
@@ -177,7 +177,7 @@
     explicit FailureTest(const DeploymentOptions &chosen = options())
         : m_deployment(chosen)
     {
-        // Whom a prompt goes to is known from here on.
+        // After one completed request the router can determine where a prompt is sent.
         EXPECT_EQ(m_deployment.post("/v1/completions", completion("first", false).dump()).status, 200);
     }
 
@@ -274,16 +274,16 @@
 
 TEST_F(FailureTest, nonIdempotentCallsRunAtMostOnceAndNotRunIsAccurate)
 {
-    struct Answered
+    struct CallOutcome
     {
         std::string hash;
         std::string run;
     };
-    std::vector<std::future<Answered>> calls;
+    std::vector<std::future<CallOutcome>> calls;
     const auto call = [this](const std::string &body) {
         const TestAnswer answer = m_deployment.post("/v1/services/register/append", body, {"Verbena-Deadline-Ms: 10000"});
         const auto run = answer.fields.find("verbena-run");
-        return Answered{Standin::RunList::bodyHash(body), run == answer.fields.end() ? "none" : run->second};
+        return CallOutcome{Standin::RunList::bodyHash(body), run == answer.fields.end() ? "none" : run->second};
     };
     constexpr int rounds = 6;
     constexpr int callsPerRound = 10;
@@ -302,21 +302,21 @@
         }
     }
     std::map<std::string, int> runs;
-    std::vector<Answered> answers;
-    answers.reserve(calls.size());
-    for (std::future<Answered> &future : calls) {
-        answers.push_back(future.get());
+    std::vector<CallOutcome> outcomes;
+    outcomes.reserve(calls.size());
+    for (std::future<CallOutcome> &future : calls) {
+        outcomes.push_back(future.get());
     }
     for (std::size_t i = 0; i < 2; ++i) {
         for (const json &run : runsOf(m_deployment.service(i))) {
             ++runs[run["body_hash"]];
         }
     }
-    for (const Answered &answer : answers) {
-        EXPECT_LE(runs[answer.hash], 1);
-        EXPECT_TRUE(answer.run != "not-run" || runs[answer.hash] == 0);
-        EXPECT_TRUE(answer.run != "run" || runs[answer.hash] == 1);
-        EXPECT_NE(answer.run, "none");
+    for (const CallOutcome &outcome : outcomes) {
+        EXPECT_LE(runs[outcome.hash], 1);
+        EXPECT_TRUE(outcome.run != "not-run" || runs[outcome.hash] == 0);
+        EXPECT_TRUE(outcome.run != "run" || runs[outcome.hash] == 1);
+        EXPECT_NE(outcome.run, "none");
     }
 }
 
@@ -342,7 +342,7 @@
     const std::string prompt = "too late";
     TestDeployment::Backend &home = homeOf(prompt);
     setFaults(home, {{"slow_factor", 1000}});
-    // On a busy machine the time can pass before the engine has the request; that run shows nothing, so the next one gets more.
+    // On a busy machine the deadline can pass before the engine has the request; that run tests nothing, so the next one gets twice the time.
     std::vector<std::string> states;
     for (std::chrono::milliseconds deadline(200); states.empty() && deadline < std::chrono::minutes(1); deadline *= 2) {
         const TestAnswer answer = m_deployment.post("/v1/completions", completion(prompt).dump(), {"Verbena-Deadline-Ms: " + std::to_string(deadline.count())});
@@ -357,7 +357,7 @@
     EXPECT_FALSE(states.empty());
 }
 
-/// Two routers and a service, with claims in the platform's table.
+/// Runs two routers and two instances of a service, with claims in the platform's table.
 class ClaimTest : public testing::Test
 {
 protected:
@@ -428,7 +428,7 @@
 {
     EXPECT_EQ(append("f", 0).status, 200);
     m_deployment.platform().sendSignal(SIGKILL);
-    // It is ready when this returns: its settings came from the agents.
+    // Returns when the router is ready, which shows that it got its settings from the agents.
     m_deployment.restartRouter(0);
     EXPECT_EQ(m_deployment.post("/v1/services/register/look", "{}").status, 200);
 }
@@ -437,7 +437,7 @@
 {
     const json leaving{{"hosts", json::array({{{"name", "engine1"}, {"address", ""}, {"failure_domain", "a"}, {"incarnation", 1}, {"leaving", true}}})}};
     ASSERT_EQ(sendHttp("POST", m_deployment.platformUrl() + "/control", {}, leaving.dump()).status, 200);
-    // The only engine is leaving, so nobody is left to answer.
+    // The only engine is leaving, so once the router has the list, no engine can answer.
     TestAnswer answer;
     do {
         answer = m_deployment.post("/v1/completions", completion("anything", false).dump());
@@ -446,31 +446,32 @@
     EXPECT_EQ(answer.fields.at("verbena-run"), "not-run");
 }
 
-/// Waits until the agent holds \a full bytes and no more of the answer comes to the router, or the request is over; what the agent holds then.
-std::size_t waitForStall(TestDeployment &deployment, std::size_t full)
+/// Waits until the agent buffers at least \a minimumBytes bytes and the router receives no more frames, or the request is finished.
+/// Returns the number of bytes that the agent buffers then.
+std::size_t waitForStall(TestDeployment &deployment, std::size_t minimumBytes)
 {
     constexpr int requiredSamples = 5;
-    std::string before;
-    std::size_t held = 0;
-    for (int same = 0; same < requiredSamples;) {
+    std::string previousCount;
+    std::size_t buffered = 0;
+    for (int unchangedSamples = 0; unchangedSamples < requiredSamples;) {
         std::this_thread::sleep_for(std::chrono::milliseconds(50));
-        const std::string now = tokenIntervalCountOf(deployment);
-        if (!now.empty() && statusOf(deployment)["in_flight"] != 1) {
+        const std::string count = tokenIntervalCountOf(deployment);
+        if (!count.empty() && statusOf(deployment)["in_flight"] != 1) {
             break;
         }
-        held = bufferedBytesOf(deployment.engine());
-        same = now == before && held >= full ? same + 1 : 0;
-        before = now;
+        buffered = bufferedBytesOf(deployment.engine());
+        unchangedSamples = count == previousCount && buffered >= minimumBytes ? unchangedSamples + 1 : 0;
+        previousCount = count;
     }
-    return held;
+    return buffered;
 }
 
 TEST(SlowReaderTest, throttlesTheEngineAndGetsTheWholeAnswer)
 {
-    // Of nine bytes each. However many of them the agent joins into a frame, the text alone is longer than what the sockets (150 KB), the
-    // router (16 KiB), the frames under way (4 of 32 KiB) and the agent (32 KiB) hold together.
+    // Each token has nine bytes. However many tokens the agent joins into a frame, the text alone exceeds what the sockets (150 KB), the
+    // router (16 KiB), the frames in flight (4 of 32 KiB) and the agent (32 KiB) buffer together.
     constexpr std::uint32_t tokens = 60000;
-    constexpr std::size_t throttleThreshold = 16 * 1024; // The agent stops the engine from here on, and one read of 16 KiB can come on top.
+    constexpr std::size_t throttleThreshold = 16 * 1024; // From here on the agent stops reading from the engine; one more read of 16 KiB can be added.
     DeploymentOptions options;
     options.engineArguments = {"--decode-interval-us", "5"};
     options.routerSettings = "streams: {maximum_buffered_bytes: 16384, frame_credit: 4}\n";
@@ -478,17 +479,17 @@
     json body = completion("slow");
     body["max_tokens"] = tokens;
     RawCaller caller(deployment.routerUrl(), body);
-    const std::size_t held = waitForStall(deployment, throttleThreshold);
-    // The answer is not whole, so the request is still running.
+    const std::size_t buffered = waitForStall(deployment, throttleThreshold);
+    // The answer is not complete, so the request must still be running.
     EXPECT_EQ(statusOf(deployment)["in_flight"], 1);
-    EXPECT_GE(held, throttleThreshold);
-    EXPECT_LE(held, 2 * throttleThreshold);
+    EXPECT_GE(buffered, throttleThreshold);
+    EXPECT_LE(buffered, 2 * throttleThreshold);
     const StreamContent content = readStream(caller.readAll());
     EXPECT_EQ(content.text, Standin::AnswerText("slow").whole(tokens));
     EXPECT_TRUE(content.isDone);
 }
 
-/// Engines that are slow until the test lets them go on, and a notice that a busy machine does not miss.
+/// Runs engines that are slow until the test speeds them up, with a shutdown notice that is long enough for a busy machine.
 class TerminationTest : public FailureTest
 {
 protected:
@@ -501,7 +502,7 @@
     static DeploymentOptions optionsWithLongNotice()
     {
         DeploymentOptions patient = options();
-        // The time from the signal until the late request has come is the test's own, and this is the routers' default.
+        // The late request must arrive within the notice, however slow the test is; 5 s is the default of the routers.
         patient.routerSettings = "shutdown: {notice: 5s}\nlinks: {heartbeat_interval: 100ms, heartbeat_timeout: 1s}\n";
         return patient;
     }
@@ -547,12 +548,12 @@
     while (sendHttp("GET", m_deployment.routerUrl() + "/readyz", {}, "").status == 200) {
         std::this_thread::yield();
     }
-    // The balancer has not noticed yet and still sends new requests.
+    // A load balancer that has not noticed the shutdown yet still sends new requests.
     std::future<TestAnswer> late = begin("late");
     while (startedRequests() < callers + 1 && late.wait_for(std::chrono::seconds(0)) != std::future_status::ready) {
         std::this_thread::yield();
     }
-    // All were under way when the router was told to end, and still are.
+    // All requests were running when the router received SIGTERM, and still are.
     EXPECT_EQ(startedRequests(), callers + 1);
     setSlowFactor(1);
     expectWhole("late", late.get());
--- a/tests/auto/path/tst_path.cpp
+++ b/tests/auto/path/tst_path.cpp
@@ -10,7 +10,7 @@
 
 namespace {
 
-/// One engine, its agent and one router as separate processes.
+/// Runs one engine, its agent and one router as separate processes.
 class PathTest : public testing::Test
 {
 protected:
@@ -59,7 +59,7 @@
     EXPECT_EQ(answer.fields.at("verbena-run"), "not-run");
 }
 
-// Whoever restarts logs or renews certificates sends one to each process.
+// Tools that rotate logs or renew certificates send SIGHUP to every process; it must not end the router.
 TEST_F(PathTest, continuesAfterSighup)
 {
     m_deployment.router().sendSignal(SIGHUP);
