--- a/src/libs/router/requesttask.h
+++ b/src/libs/router/requesttask.h
@@ -12,7 +12,7 @@
 
 namespace Verbena::Router {
 
-/// \brief One caller's request on its way through the router: carries out what its AttemptTracker decides.
+/// \brief The processing of one caller's request: performs the actions that its AttemptTracker decides on.
 class RequestTask : public std::enable_shared_from_this<RequestTask>
 {
 public:
@@ -24,7 +24,7 @@
 
     const std::string &id() const;
 
-    /// \brief Claims the idempotency key if there is one, and begins the first attempt.
+    /// \brief Claims the idempotency key if there is one, and starts the first attempt.
     void start();
 
     void receiveAdmitted(const verbena::wire::Admitted &admitted);
@@ -32,11 +32,11 @@
     void receiveFrame(const verbena::wire::Frame &frame);
     void receiveEnded(const verbena::wire::Ended &ended);
 
-    /// \brief The connection to \a server stands.
-    void noteAgentReady(Decisions::BackendServerId server);
+    /// \brief Sends the attempt that waits for the connection to \a server.
+    void handleAgentReady(Decisions::BackendServerId server);
 
-    /// \brief Nothing more will come of what was sent to \a server.
-    void noteAgentLost(Decisions::BackendServerId server);
+    /// \brief Handles that an attempt at \a server gets no further messages.
+    void handleAgentLost(Decisions::BackendServerId server);
 
 private:
     void receiveClaim(const ClaimAnswer &answer);
@@ -44,7 +44,7 @@
     void dispatch(const Decisions::DispatchAttempt &action);
     std::optional<Decisions::BackendServerId> chooseServer(const Decisions::DispatchAttempt &action);
     void sendAttempt();
-    void failToSend();
+    void handleSendFailure();
     void cancel(const Decisions::CancelAttempt &action);
     void finish(const Decisions::FinishRequest &action);
     void fail(const Decisions::FailRequest &failure);
@@ -56,7 +56,7 @@
     void grantCredit();
     bool isAnswerTooLarge() const;
     void releaseServer();
-    void settleWork(bool isAnswered);
+    void discardExpectedWork(bool isAnswered);
 
     RequestContext m_context;
     RequestPlan m_plan;
@@ -68,13 +68,13 @@
     RequestMeter m_meter;
     Decisions::BackendServerId m_server{};
     std::uint32_t m_resumeTokens = 0;
-    bool m_hasServer = false; ///< An attempt is bound to m_server, sent or not.
+    bool m_hasServer = false; ///< Whether an attempt is assigned to m_server, sent or not.
     bool m_isWaitingForLink = false;
-    bool m_isWorkCounted = false;
-    std::chrono::microseconds m_work{0};
-    std::uint32_t m_takenFrames = 0; ///< Since the last credit.
-    bool m_isClaimed = false;
-    bool m_isOver = false;
+    bool m_isWorkRecorded = false; ///< Whether m_expectedWork counts as unanswered work of m_server.
+    std::chrono::microseconds m_expectedWork{0}; ///< Expected prefill time of the attempt.
+    std::uint32_t m_uncreditedFrames = 0; ///< Number of frames delivered since the last credit.
+    bool m_isClaimGranted = false;
+    bool m_isFinished = false;
     verbena::wire::Ended m_ended;
 };
 
--- a/tests/auto/path/tst_path.cpp
+++ b/tests/auto/path/tst_path.cpp
@@ -10,7 +10,7 @@
 
 namespace {
 
-/// One engine, its agent and one router as separate processes.
+/// Runs one engine, its agent and one router as separate processes.
 class PathTest : public testing::Test
 {
 protected:
@@ -43,7 +43,7 @@
     EXPECT_TRUE(answer.body.ends_with("data: [DONE]\n\n"));
 }
 
-TEST_F(PathTest, givesTheWholeAnswerAtOnce)
+TEST_F(PathTest, returnsTheWholeAnswerInOneResponse)
 {
     const TestAnswer answer = complete({{"model", "analyst"}, {"prompt", "seepage"}, {"max_tokens", 5}});
     EXPECT_EQ(answer.status, 200);
@@ -59,8 +59,8 @@
     EXPECT_EQ(answer.fields.at("verbena-run"), "not-run");
 }
 
-// Whoever restarts logs or renews certificates sends one to each process.
-TEST_F(PathTest, goesOnAfterSighup)
+// Tools that rotate logs or renew certificates send SIGHUP to every process; it must not end the router.
+TEST_F(PathTest, continuesAfterSighup)
 {
     m_deployment.router().sendSignal(SIGHUP);
     for (int number = 0; number < 3; ++number) {
